--- a/src/crossing/crossing.cpp
+++ b/src/admission/admission.cpp
@@ -1,9 +1,9 @@
-#include "crossing/crossing.hpp"
+#include "admission/admission.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cobaltshift::crossing {
+namespace cobaltshift::admission {
 
 namespace {
 constexpr double kSmooth = 0.1, kRankWorth = 2;
@@ -11,7 +11,7 @@
 constexpr std::size_t kPastLives = 16;
 }  // namespace
 
-void Crossing::new_life(const std::string& life) {
+void Admission::new_life(const std::string& life) {
     if (!life_.empty()) past_lives_.push_back(life_);
     if (past_lives_.size() > kPastLives) past_lives_.erase(past_lives_.begin());
     life_ = life;
@@ -24,7 +24,7 @@
     pace_ = 0;
 }
 
-bool Crossing::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
+bool Admission::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
     if (std::find(past_lives_.begin(), past_lives_.end(), life) != past_lives_.end()) return false;
     if (life == life_ && gone_) return false;
     if (life != life_)
@@ -38,18 +38,18 @@
     return true;
 }
 
-void Crossing::seen_well(const std::string& life, std::uint32_t capacity) {
+void Admission::seen_well(const std::string& life, std::uint32_t capacity) {
     if (first_hand_ || life.empty()) return;
     if (life != life_) new_life(life);
     capacity_ = std::max(1U, capacity);
 }
 
-void Crossing::gone(const std::string& life) {
+void Admission::gone(const std::string& life) {
     if (life != life_) return;
     closing_ = gone_ = true;
 }
 
-Answer Crossing::offer(Millis now, const Offer& offer) {
+Answer Admission::offer(Millis now, const Offer& offer) {
     if (leaving_) return {Act::refuse, Reason::leaving};
     if (life_.empty() || offer.life != life_) return {Act::refuse, Reason::wrong_life};
     if (closing_) return {Act::refuse, Reason::closing};
@@ -74,7 +74,7 @@
     return {Act::wait, {}};
 }
 
-Millis Crossing::wait_before(const Order& order) const {
+Millis Admission::wait_before(const Order& order) const {
     // One of those at work has to end first.
     Millis before = pace_ * targets_ / std::max<double>(1, static_cast<double>(working_.size()));
     for (auto at = queue_.begin(); at != queue_.end() && at->first < order; ++at)
@@ -82,7 +82,7 @@
     return before / capacity_;
 }
 
-void Crossing::remember(const std::string& id) {
+void Admission::remember(const std::string& id) {
     const std::uint64_t order = ran_count_++;
     ran_.emplace(id, order);
     ran_order_.emplace(order, id);
@@ -91,13 +91,13 @@
     ran_order_.erase(ran_order_.begin());
 }
 
-void Crossing::start(const Offer& offer, Millis target) {
+void Admission::start(const Offer& offer, Millis target) {
     working_.emplace(offer.ticket, Working{target, offer.once ? offer.id : std::string()});
     targets_ += target;
     if (offer.once) remember(offer.id);
 }
 
-void Crossing::ended(Ticket ticket, Millis took, bool ran) {
+void Admission::ended(Ticket ticket, Millis took, bool ran) {
     const auto at = working_.find(ticket);
     if (at == working_.end()) return;
     const Millis target = at->second.target;
@@ -114,7 +114,7 @@
     if (target > 0) smooth(pace_, std::min(1.0, took / target));
 }
 
-bool Crossing::withdraw(Ticket ticket) {
+bool Admission::withdraw(Ticket ticket) {
     const auto at = places_.find(ticket);
     if (at == places_.end()) return false;
     queue_.erase(at->second);
@@ -122,7 +122,7 @@
     return true;
 }
 
-std::vector<Ticket> Crossing::next(Millis now) {
+std::vector<Ticket> Admission::next(Millis now) {
     std::vector<Ticket> begun;
     for (auto first = queue_.begin(); open() && first != queue_.end() && working_.size() < capacity_;) {
         const Offer& offer = first->second.offer;
@@ -139,7 +139,7 @@
     return begun;
 }
 
-std::vector<Turned> Crossing::turned(Millis now) {
+std::vector<Turned> Admission::turned(Millis now) {
     std::vector<Turned> out;
     for (auto at = queue_.begin(); at != queue_.end();) {
         const Offer& offer = at->second.offer;
@@ -160,11 +160,11 @@
     return out;
 }
 
-Millis Crossing::due() const {
+Millis Admission::due() const {
     Millis first = 0;
     for (const auto& [order, waiting] : queue_)
         if (first == 0 || waiting.offer.deadline < first) first = waiting.offer.deadline;
     return first;
 }
 
-}  // namespace cobaltshift::crossing
+}  // namespace cobaltshift::admission
--- a/src/crossing/crossing.hpp
+++ b/src/admission/admission.hpp
@@ -1,8 +1,8 @@
-// The crossing beside each application server (standard term: server-side admission gate). The only way to
-// the server, so each promise that must hold though news is late is kept here: a request once a life (TWICE,
-// UNASKED), nothing new after an acknowledged `closing` (DRAIN), the right life alone (ROUTE), never over
-// capacity. Entry type: Crossing. Called by guard::Gate; free of I/O: events go in with their time, what may
-// begin comes out.
+// The admission beside each application server (standard term: server-side admission inbound). The only way
+// to the server, so each promise that must hold though news is late is kept here: a request once a life
+// (TWICE, UNASKED), nothing new after an acknowledged `closing` (DRAIN), the right life alone (ROUTE), never
+// over capacity. Entry type: Admission. Called by proxy::Inbound; free of I/O: events go in with their time,
+// what may begin comes out.
 //
 // Invariants:
 //   working() <= max(capacity, what it was when they began)      begin() only while there is a slot
@@ -17,9 +17,9 @@
 #include <vector>
 
 #include "kelplb/balancer.hpp"
-#include "verdict/verdict.hpp"
+#include "outcome/outcome.hpp"
 
-namespace cobaltshift::crossing {
+namespace cobaltshift::admission {
 
 using Millis = double;  // steady, from any origin
 using Ticket = std::uint64_t;
@@ -53,9 +53,9 @@
     Reason reason;
 };
 
-class Crossing {
+class Admission {
 public:
-    explicit Crossing(Settings settings = {}) : settings_(settings) {}
+    explicit Admission(Settings settings = {}) : settings_(settings) {}
 
     // The server's own word, first-hand. False: an older call than the newest known of this life, or of a
     // life that is over.
@@ -64,7 +64,7 @@
     void seen_well(const std::string& life, std::uint32_t capacity);
     // DELETE: it is gone.
     void gone(const std::string& life);
-    // The guard itself ends: nothing new from here on.
+    // The proxy itself ends: nothing new from here on.
     void leave() { leaving_ = true; }
 
     Answer offer(Millis now, const Offer& offer);
@@ -76,7 +76,7 @@
 
     // What may begin now, in order; each counts as working from here on.
     std::vector<Ticket> next(Millis now);
-    // What is in the queue and has no use in it any more: the gate answers these as not run.
+    // What is in the queue and has no use in it any more: the inbound answers these as not run.
     std::vector<Turned> turned(Millis now);
     // When turned() should be asked next; 0: no need.
     Millis due() const;
@@ -127,4 +127,4 @@
     double pace_ = 0;     // time at the server against the target, smoothed
 };
 
-}  // namespace cobaltshift::crossing
+}  // namespace cobaltshift::admission
--- a/src/crossing/module_settings.cpp
+++ b/src/admission/module_settings.cpp
@@ -1,9 +1,9 @@
-#include "crossing/module_settings.hpp"
+#include "admission/module_settings.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace cobaltshift::crossing {
+namespace cobaltshift::admission {
 
 namespace {
 constexpr double kLeastAim = 25;  // ms; each class's is the square root of 2 times the one's before
@@ -19,7 +19,7 @@
 constexpr double kRankWorth = 2;
 }  // namespace
 
-kelplb::Settings module_settings(std::optional<kelplb::ZoneId> zone, std::uint32_t guards) {
+kelplb::Settings module_settings(std::optional<kelplb::ZoneId> zone, std::uint32_t proxies) {
     kelplb::Settings s;
     for (const kelplb::Effect effect : {kelplb::Effect::repeatable, kelplb::Effect::once})
         for (std::uint32_t rank = 0; rank < kRanks; ++rank)
@@ -33,16 +33,16 @@
                 s.classes.push_back(c);
             }
     s.my_zone = zone;
-    s.siblings = guards;
+    s.siblings = proxies;
     s.max_attempts = kMostAttempts;
     s.cold_from = 0.5;
     s.warm_within = kWarmWithin;
     s.fees.cross_zone = kCrossZoneFee;
-    // Offers that a crossing turns away cost nothing, and real tries have the shared budget.
+    // Offers that a admission turns away cost nothing, and real tries have the shared budget.
     s.retry_share = kMostAttempts;
     s.retry_burst = 1000;
     s.hold = kHold;
-    s.admission = false;  // the crossing knows what its server does, to the slot
+    s.admission = false;  // the admission knows what its server does, to the slot
     return s;
 }
 
@@ -53,4 +53,4 @@
     return i + kAims * (r + (once ? kRanks : 0));
 }
 
-}  // namespace cobaltshift::crossing
+}  // namespace cobaltshift::admission
--- a/src/crossing/allowance.hpp
+++ b/src/admission/retry_budget.hpp
@@ -1,9 +1,9 @@
 // The shared budget for further tries at one service (standard term: retry budget), kept without a message a
-// request: each guard may spend a part of the ratio on its own requests and its share of the slack, from the
-// count of live guards. Entry type: Allowance. Called by guard::Outbound; free of I/O.
+// request: each proxy may spend a part of the ratio on its own requests and its share of the slack, from the
+// count of live proxies. Entry type: RetryBudget. Called by proxy::Outbound; free of I/O.
 //
 // The bound of all together: in any window, further tries <= ratio x requests + slack, as long as each
-// guard's count of the others is at least half of what is live; calls that a further try makes again count
+// proxy's count of the others is at least half of what is live; calls that a further try makes again count
 // too, and have the rest.
 #pragma once
 
@@ -11,31 +11,31 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace cobaltshift::crossing {
+namespace cobaltshift::admission {
 
-class Allowance {
+class RetryBudget {
 public:
     using Millis = double;
     struct Settings {
         double ratio = 0.2;     // of the rule
-        double slack = 60;      // of the rule, for all guards together
+        double slack = 60;      // of the rule, for all proxies together
         Millis window = 10000;  // of the rule, sliding
         double part_of_ratio = 0.4,
                part_of_slack = 0.4;  // ours: the rest is for calls made again, and late news
     };
-    explicit Allowance(Settings settings) : settings_(settings) {}
+    explicit RetryBudget(Settings settings) : settings_(settings) {}
 
     void request(Millis now) {
         turn(now);
         ++requests_[at_];
     }
     // True: a further try may go out, and is counted.
-    bool spend(Millis now, std::size_t live_guards) {
+    bool spend(Millis now, std::size_t live_proxies) {
         turn(now);
-        const double guards = static_cast<double>(live_guards == 0 ? 1 : live_guards);
+        const double proxies = static_cast<double>(live_proxies == 0 ? 1 : live_proxies);
         const double most = settings_.ratio * settings_.part_of_ratio * sum(requests_) +
-                            settings_.slack * settings_.part_of_slack / guards;
-        // Less than one is saved up: a tenth of the guards may not spend what all may together.
+                            settings_.slack * settings_.part_of_slack / proxies;
+        // Less than one is saved up: a tenth of the proxies may not spend what all may together.
         if (sum(spent_) + 1 > most) return false;
         ++spent_[at_];
         return true;
@@ -67,4 +67,4 @@
     std::int64_t part_ = -1;
 };
 
-}  // namespace cobaltshift::crossing
+}  // namespace cobaltshift::admission
--- a/src/desk/api_front.cpp
+++ b/src/api/api_front.cpp
@@ -1,9 +1,9 @@
-#include "desk/api_front.hpp"
+#include "api/api_front.hpp"
 
 #include "net/dialect.hpp"
 #include "net/form.hpp"
 
-namespace cobaltshift::desk {
+namespace cobaltshift::api {
 
 namespace {
 constexpr Millis kHeadTime = 5000, kReadTime = 15000, kIdleTime = 30000;
@@ -44,4 +44,4 @@
     return next_++;
 }
 
-}  // namespace cobaltshift::desk
+}  // namespace cobaltshift::api
--- a/src/desk/api_front.hpp
+++ b/src/api/api_front.hpp
@@ -1,14 +1,14 @@
 // The desk at which servers, operators and the platform call (standard term: API server): a Listener's Front
-// that hands each call to the first Resource whose target it is. Entry type: ApiFront. Used by the guard
-// (beats, readiness) and by the signalbox (configuration).
+// that hands each call to the first Resource whose target it is. Entry type: ApiFront. Used by the proxy
+// (beats, readiness) and by the control node (configuration).
 #pragma once
 
 #include <unordered_map>
 
-#include "desk/api.hpp"
+#include "api/api.hpp"
 #include "net/front.hpp"
 
-namespace cobaltshift::desk {
+namespace cobaltshift::api {
 
 class ApiFront : public Front {
 public:
@@ -29,4 +29,4 @@
     RequestId next_ = 1;
 };
 
-}  // namespace cobaltshift::desk
+}  // namespace cobaltshift::api
--- a/src/timetable/bounded.hpp
+++ b/src/config/bounded.hpp
@@ -1,5 +1,5 @@
 // cereal's portable binary over bytes that nobody vouches for: lengths are held against what is there before
-// anything is made so large. Entries: Out, In. Called by codec.cpp and ledger.cpp.
+// anything is made so large. Entries: Out, In. Called by codec.cpp and state machine.cpp.
 #pragma once
 
 #include <xxhash.h>
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 class Out {
 public:
@@ -109,4 +109,4 @@
     cereal::PortableBinaryInputArchive archive_;
 };
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/codec.cpp
+++ b/src/config/codec.cpp
@@ -1,8 +1,8 @@
-#include "timetable/codec.hpp"
+#include "config/codec.hpp"
 
-#include "timetable/bounded.hpp"
+#include "config/bounded.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-std::string encode(const Timetable& whole) {
+std::string encode(const Configuration& whole) {
     Out out;
     out << kWhole << whole.edition << changed<decltype(whole.routes)>(nullptr, whole.routes)
         << changed<decltype(whole.services)>(nullptr, whole.services)
@@ -45,7 +45,7 @@
     return out.sealed();
 }
 
-std::string encode_delta(const Timetable& from, const Timetable& to) {
+std::string encode_delta(const Configuration& from, const Configuration& to) {
     Out out;
     out << kDelta << from.edition << to.edition << changed(&from.routes, to.routes)
         << changed(&from.services, to.services) << changed(&from.others, to.others)
@@ -62,13 +62,15 @@
     }
 }
 
-std::shared_ptr<const Timetable> decode(std::string_view bytes, const Timetable* base, std::string& why) {
+std::shared_ptr<const Configuration> decode(std::string_view bytes, const Configuration* base,
+                                            std::string& why) {
     try {
-        if (bytes.size() > kMostTimetableBytes) throw std::runtime_error("it is too long");
+        if (bytes.size() > kMostConfigurationBytes) throw std::runtime_error("it is too long");
         In in(bytes);
         const std::uint64_t what = in.number();
         const bool delta = what == kDelta;
-        if (!delta && what != kWhole) throw std::runtime_error("it is no timetable, or of another format");
+        if (!delta && what != kWhole)
+            throw std::runtime_error("it is no configuration, or of another format");
         if (delta) {
             const Edition from = in.number();
             if (!base || base->edition != from) throw std::runtime_error("it builds on another edition");
@@ -86,12 +88,13 @@
         items.limits = in.text();
         in.end();
         Parsed parsed = from_items(delta ? base : nullptr, items);
-        if (!parsed.timetable) why = parsed.complaints.empty() ? "it is invalid" : parsed.complaints.front();
-        return parsed.timetable;
+        if (!parsed.configuration)
+            why = parsed.complaints.empty() ? "it is invalid" : parsed.complaints.front();
+        return parsed.configuration;
     } catch (const std::exception& fault) {
         why = fault.what();
         return nullptr;
     }
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/ledger.cpp
+++ b/src/config/config_state_machine.cpp
@@ -1,9 +1,9 @@
-#include "timetable/ledger.hpp"
+#include "config/config_state_machine.hpp"
 
-#include "timetable/bounded.hpp"
-#include "timetable/codec.hpp"
+#include "config/bounded.hpp"
+#include "config/codec.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 constexpr std::uint64_t kChange = 0x4353434801, kLedger = 0x43534c4701;
@@ -33,7 +33,7 @@
     }
 }
 
-Ledger::Digest Ledger::digest(const Change& change) {
+ConfigStateMachine::Digest ConfigStateMachine::digest(const Change& change) {
     const XXH64_hash_t seed = XXH3_64bits_withSeed(&change.if_match, sizeof change.if_match,
                                                    static_cast<XXH64_hash_t>(change.kind) + 1);
     const XXH128_hash_t hash = XXH3_128bits_withSeed(change.body.data(), change.body.size(), seed);
@@ -41,11 +41,11 @@
 }
 
 // Leaves in prepared_ what is taken.
-Verdict Ledger::judge(const Change& change, const Digest& digest) {
+ChangeOutcome ConfigStateMachine::judge(const Change& change, const Digest& digest) {
     for (const Taken& taken : taken_)
-        if (taken.digest == digest) return {Verdict::Kind::already, taken.edition, {}};
-    if (change.if_match != edition()) return {Verdict::Kind::stale, edition(), {}};
-    if (!prepared_.timetable || prepared_.digest != digest || prepared_.base != edition()) {
+        if (taken.digest == digest) return {ChangeOutcome::Kind::already, taken.edition, {}};
+    if (change.if_match != edition()) return {ChangeOutcome::Kind::stale, edition(), {}};
+    if (!prepared_.configuration || prepared_.digest != digest || prepared_.base != edition()) {
         Parsed parsed;
         if (change.kind == Change::Kind::put)
             parsed = read_whole(change.body, edition());
@@ -54,43 +54,44 @@
         else
             parsed.complaints.push_back("body: there is nothing yet that could be altered");
         // What can't be handed on whole must not be taken: nobody could read it back.
-        if (parsed.timetable && encode(*parsed.timetable).size() > kMostTimetableBytes * 3 / 4) {
-            parsed.timetable.reset();
+        if (parsed.configuration && encode(*parsed.configuration).size() > kMostConfigurationBytes * 3 / 4) {
+            parsed.configuration.reset();
             parsed.complaints.push_back("the whole configuration: is over " +
-                                        std::to_string(kMostTimetableBytes * 3 / 4) + " bytes");
+                                        std::to_string(kMostConfigurationBytes * 3 / 4) + " bytes");
         }
-        if (!parsed.timetable) return {Verdict::Kind::invalid, edition(), std::move(parsed.complaints)};
-        prepared_ = {digest, edition(), std::move(parsed.timetable)};
+        if (!parsed.configuration)
+            return {ChangeOutcome::Kind::invalid, edition(), std::move(parsed.complaints)};
+        prepared_ = {digest, edition(), std::move(parsed.configuration)};
     }
-    return {Verdict::Kind::taken, prepared_.timetable->edition, {}};
+    return {ChangeOutcome::Kind::taken, prepared_.configuration->edition, {}};
 }
 
-Verdict Ledger::check(const Change& change) { return judge(change, digest(change)); }
+ChangeOutcome ConfigStateMachine::check(const Change& change) { return judge(change, digest(change)); }
 
-Verdict Ledger::apply(const Change& change) {
+ChangeOutcome ConfigStateMachine::apply(const Change& change) {
     const Digest own = digest(change);
-    Verdict verdict = judge(change, own);
-    if (verdict.kind != Verdict::Kind::taken) return verdict;
-    current_ = std::move(prepared_.timetable);
+    ChangeOutcome verdict = judge(change, own);
+    if (verdict.kind != ChangeOutcome::Kind::taken) return verdict;
+    current_ = std::move(prepared_.configuration);
     prepared_ = {};
     taken_.push_back({current_->edition, own});
     if (taken_.size() > kRemembered) taken_.pop_front();
     return verdict;
 }
 
-std::string Ledger::save() const {
+std::string ConfigStateMachine::save() const {
     Out out;
     out << kLedger << (current_ ? encode(*current_) : std::string()) << std::uint64_t{taken_.size()};
     for (const Taken& taken : taken_) out << taken.edition << taken.digest[0] << taken.digest[1];
     return out.sealed();
 }
 
-bool Ledger::load(std::string_view bytes) {
+bool ConfigStateMachine::load(std::string_view bytes) {
     try {
         In in(bytes);
         if (in.number() != kLedger) return false;
         const std::string whole = in.text();
-        std::shared_ptr<const Timetable> current;
+        std::shared_ptr<const Configuration> current;
         std::string why;
         if (!whole.empty() && !(current = decode(whole, nullptr, why))) return false;
         std::deque<Taken> taken;
@@ -112,4 +113,4 @@
     }
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/ledger.hpp
+++ b/src/config/config_state_machine.hpp
@@ -1,6 +1,6 @@
-// What the hubs agree on: the newest timetable, and which changes led there. Entry type: Ledger, the
-// replicated state machine. Called by signalbox::Replica with the committed entries in their order; free of
-// I/O. The same entries lead to the same state and verdicts on every machine.
+// What the hubs agree on: the newest configuration, and which changes led there. Entry type:
+// ConfigStateMachine, the replicated state machine. Called by control::Replica with the committed entries in
+// their order; free of I/O. The same entries lead to the same state and verdicts on every machine.
 //
 // Invariants: a change takes effect only on top of the very edition that it names, so that of two on one
 // edition one wins; a change that was taken, sent again, is answered as it was (the last kRemembered of
@@ -10,9 +10,9 @@
 #include <array>
 #include <deque>
 
-#include "timetable/parse.hpp"
+#include "config/parse.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 constexpr std::size_t kRemembered = 512;
 
@@ -25,26 +25,26 @@
 std::string encode(const Change& change);
 std::optional<Change> decode_change(std::string_view bytes);
 
-struct Verdict {
+struct ChangeOutcome {
     enum class Kind : std::uint8_t { taken, already, stale, invalid };
     Kind kind = Kind::invalid;
     Edition edition = 0;  // taken, already: the change's; else the current one
     std::vector<std::string> complaints;
 };
 
-class Ledger {
+class ConfigStateMachine {
 public:
     // What would come of it now; a later apply() of the same change finds its work done.
-    Verdict check(const Change& change);
-    Verdict apply(const Change& change);
+    ChangeOutcome check(const Change& change);
+    ChangeOutcome apply(const Change& change);
 
-    const std::shared_ptr<const Timetable>& current() const {
+    const std::shared_ptr<const Configuration>& current() const {
         return current_;
     }  // none: nothing has been put yet
     Edition edition() const { return current_ ? current_->edition : 0; }
 
     std::string save() const;
-    // False: the bytes are no ledger's; this one is as it was.
+    // False: the bytes are no state machine's; this one is as it was.
     bool load(std::string_view bytes);
 
 private:
@@ -54,14 +54,14 @@
         Edition edition = 0;
         Digest digest{};
     };
-    Verdict judge(const Change& change, const Digest& digest);
-    std::shared_ptr<const Timetable> current_;
+    ChangeOutcome judge(const Change& change, const Digest& digest);
+    std::shared_ptr<const Configuration> current_;
     std::deque<Taken> taken_;
     struct Prepared {
         Digest digest{};
         Edition base = 0;
-        std::shared_ptr<const Timetable> timetable;
+        std::shared_ptr<const Configuration> configuration;
     } prepared_;
 };
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/timetable.cpp
+++ b/src/config/configuration.cpp
@@ -1,9 +1,9 @@
-#include "timetable/timetable.hpp"
+#include "config/configuration.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 
@@ -37,9 +37,9 @@
     return plain;
 }
 
-std::shared_ptr<const Timetable> seal(Timetable timetable) {
-    auto sealed = std::make_shared<Timetable>(std::move(timetable));
-    Timetable::Index& index = sealed->index_;
+std::shared_ptr<const Configuration> seal(Configuration configuration) {
+    auto sealed = std::make_shared<Configuration>(std::move(configuration));
+    Configuration::Index& index = sealed->index_;
     index.routes.clear();
     index.routes.reserve(sealed->routes.size());
     for (const auto& [name, route] : sealed->routes) {
@@ -53,7 +53,7 @@
 }
 
 // Every prefix ends with a slash: only as many candidates as the path has slashes.
-const Route* Timetable::find(std::string_view host, std::string_view path) const {
+const Route* Configuration::find(std::string_view host, std::string_view path) const {
     host = without_port(host);
     path = path.substr(0, std::min(path.find('?'), index_.longest));
     for (auto slash = path.rfind('/'); slash != std::string_view::npos;
@@ -67,4 +67,4 @@
     return nullptr;
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/timetable.hpp
+++ b/src/config/configuration.hpp
@@ -1,7 +1,7 @@
-// The timetable: one version of the mesh's configuration (routes, services, limits), and which route a
-// request takes. Entry type: Timetable, never changed once sealed. Called by guards for every request, by the
-// ledger and the feed. Free of I/O. parse.hpp makes one from JSON, codec.hpp carries it between nodes,
-// ledger.hpp agrees on the newest.
+// The configuration: one version of the mesh's configuration (routes, services, limits), and which route a
+// request takes. Entry type: Configuration, never changed once sealed. Called by proxies for every request,
+// by the state machine and the feed. Free of I/O. parse.hpp makes one from JSON, codec.hpp carries it between
+// nodes, state machine.hpp agrees on the newest.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 using Edition = std::uint64_t;  // written r12; 0: nothing has been put yet
 
@@ -46,7 +46,7 @@
     std::string text;  // as above
 };
 
-struct Timetable {
+struct Configuration {
     Edition edition = 0;
     std::map<std::string, Route> routes;
     std::map<std::string, Service> services;
@@ -58,7 +58,7 @@
     const Route* find(std::string_view host, std::string_view path) const;
 
 private:
-    friend std::shared_ptr<const Timetable> seal(Timetable);
+    friend std::shared_ptr<const Configuration> seal(Configuration);
     struct Index {  // by host and prefix; a copy has none, as it would point into what was copied
         std::vector<const Route*> routes;
         std::size_t longest = 0;
@@ -70,9 +70,9 @@
 };
 
 // Makes it ready for find(); the entry for whoever has filled one in.
-std::shared_ptr<const Timetable> seal(Timetable timetable);
+std::shared_ptr<const Configuration> seal(Configuration configuration);
 
 // A host as compared: lower case, without port.
 std::string plain_host(std::string_view host);
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/json_text.cpp
+++ b/src/config/json_text.cpp
@@ -1,8 +1,8 @@
-#include "timetable/json_text.hpp"
+#include "config/json_text.hpp"
 
 #include <memory>
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 
@@ -110,4 +110,4 @@
     return from <= to && to <= json.size() ? std::string(json.substr(from, to - from)) : std::string();
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/parse.cpp
+++ b/src/config/parse.cpp
@@ -1,13 +1,13 @@
-#include "timetable/parse.hpp"
+#include "config/parse.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <utility>
 
-#include "timetable/json_text.hpp"
+#include "config/json_text.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 
@@ -147,7 +147,7 @@
 }
 
 // What concerns more than one item.
-void check(const Timetable& t, Complaints& complaints) {
+void check(const Configuration& t, Complaints& complaints) {
     std::map<std::pair<std::string_view, std::string_view>, std::string_view> taken;
     for (const auto& [name, route] : t.routes) {
         for (const Share& share : route.split)
@@ -162,20 +162,20 @@
     }
 }
 
-Parsed finish(Timetable t, Complaints complaints) {
+Parsed finish(Configuration t, Complaints complaints) {
     check(t, complaints);
     if (!complaints.all.empty()) return {nullptr, std::move(complaints.all)};
     return {seal(std::move(t)), {}};
 }
 
-void put_routes(Timetable& t, const Json::Value& table, std::string_view json, const std::string& place,
+void put_routes(Configuration& t, const Json::Value& table, std::string_view json, const std::string& place,
                 Complaints& complaints) {
     if (!table.isObject()) return complaints.add(place, "is no table by name");
     for (auto at = table.begin(); at != table.end(); ++at)
         t.routes[at.name()] = route_of(at.name(), *at, text_of(json, *at), complaints);
 }
 
-void put_services(Timetable& t, const Json::Value& table, std::string_view json, const std::string& place,
+void put_services(Configuration& t, const Json::Value& table, std::string_view json, const std::string& place,
                   Complaints& complaints) {
     if (!table.isObject()) return complaints.add(place, "is no table by name");
     for (auto at = table.begin(); at != table.end(); ++at)
@@ -243,7 +243,7 @@
     if (!parse(json, "body", root, complaints)) return {nullptr, std::move(complaints.all)};
     const Object o(root, "body", complaints);
     if (!o.is_object()) return {nullptr, std::move(complaints.all)};
-    Timetable t;
+    Configuration t;
     t.edition = edition_of(o, above);
     for (const char* key : {"routes", "services", "limits"})
         if (!o.field(key)) o.complain(key, "is missing");
@@ -258,13 +258,13 @@
     return finish(std::move(t), std::move(complaints));
 }
 
-Parsed patch(const Timetable& base, std::string_view json) {
+Parsed patch(const Configuration& base, std::string_view json) {
     Complaints complaints;
     Json::Value root;
     if (!parse(json, "body", root, complaints)) return {nullptr, std::move(complaints.all)};
     const Object o(root, "body", complaints);
     if (!o.is_object()) return {nullptr, std::move(complaints.all)};
-    Timetable t = base;
+    Configuration t = base;
     t.edition = edition_of(o, base.edition);
     std::map<std::string, std::vector<std::string>> gone;
     const auto *remove = o.field("remove"), *upsert = o.field("upsert");
@@ -296,7 +296,7 @@
     return finish(std::move(t), std::move(complaints));
 }
 
-std::string to_json(const Timetable& t) {
+std::string to_json(const Configuration& t) {
     std::string out = "{\"edition\":\"" + to_text(t.edition) + '"';
     write_table(out, "routes", t.routes, [](const Route& route) { return route.text; });
     write_table(out, "services", t.services, [](const Service& service) { return service.text; });
@@ -305,9 +305,9 @@
     return out + '}';
 }
 
-Parsed from_items(const Timetable* base, const Items& items) {
+Parsed from_items(const Configuration* base, const Items& items) {
     Complaints complaints;
-    Timetable t;
+    Configuration t;
     if (base) t = *base;
     t.edition = items.edition;
     if (items.edition == 0 || (base && items.edition <= base->edition))
@@ -337,4 +337,4 @@
     return finish(std::move(t), std::move(complaints));
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable/parse.hpp
+++ b/src/config/parse.hpp
@@ -1,17 +1,17 @@
-// A configuration's JSON, whole or as a patch, to a Timetable and back. Entries: read_whole(), patch(),
-// to_json(). Called by the ledger; the codec makes single items with it. What is wrong is said all at once,
-// each with its place.
+// A configuration's JSON, whole or as a patch, to a Configuration and back. Entries: read_whole(), patch(),
+// to_json(). Called by the state machine; the codec makes single items with it. What is wrong is said all at
+// once, each with its place.
 #pragma once
 
 #include <optional>
 
-#include "timetable/timetable.hpp"
+#include "config/configuration.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 struct Parsed {
-    std::shared_ptr<const Timetable> timetable;  // none: see `complaints`
-    std::vector<std::string> complaints;         // "routes.r-1.deadline_s: is over 600"; 50 at the most
+    std::shared_ptr<const Configuration> configuration;  // none: see `complaints`
+    std::vector<std::string> complaints;  // "routes.r-1.deadline_s: is over 600"; 50 at the most
 };
 
 constexpr double kLongestDeadlineS = 600;
@@ -22,9 +22,9 @@
 
 // `above`: the edition that is current.
 Parsed read_whole(std::string_view json, Edition above);
-Parsed patch(const Timetable& base, std::string_view json);
+Parsed patch(const Configuration& base, std::string_view json);
 // As the operator reads it back.
-std::string to_json(const Timetable& timetable);
+std::string to_json(const Configuration& configuration);
 
 // Items by their JSON texts, as they travel between nodes: checked as if they came from the operator.
 struct Items {
@@ -34,6 +34,6 @@
     std::string limits;  // empty in a patch: as they were
 };
 // On `base`, where given; else these are all.
-Parsed from_items(const Timetable* base, const Items& items);
+Parsed from_items(const Configuration* base, const Items& items);
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable_io/feed.cpp
+++ b/src/config_io/config_distributor.cpp
@@ -1,10 +1,10 @@
-#include "timetable_io/feed.hpp"
+#include "config_io/config_distributor.hpp"
 
+#include "config/codec.hpp"
+#include "config/parse.hpp"
 #include "log/log.hpp"
-#include "timetable/codec.hpp"
-#include "timetable/parse.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 namespace {
 
@@ -24,12 +24,13 @@
 
 // ---- Serving ---------------------------------------------------------------------------------------------
 
-struct Feed::Serving : std::enable_shared_from_this<Serving> {
-    Serving(Feed& of, tcp::socket from) : feed(of), alive(of.alive_), socket(std::move(from)), timer(of.io_) {
-        ++feed.serving_;
+struct ConfigDistributor::Serving : std::enable_shared_from_this<Serving> {
+    Serving(ConfigDistributor& of, tcp::socket from)
+        : distributor(of), alive(of.alive_), socket(std::move(from)), timer(of.io_) {
+        ++distributor.serving_;
     }
     ~Serving() {
-        if (*alive) --feed.serving_;
+        if (*alive) --distributor.serving_;
     }
     void start() {
         timer.expires_after(kServeWithin);
@@ -45,11 +46,11 @@
     void answer() {
         const std::string_view asked(ask.data(), ask.size());
         if (get(asked, 0, 4) != kAsk) {
-            ++feed.counts_.refused;
+            ++distributor.counts_.refused;
             timer.cancel();
             return;
         }
-        parts = feed.parts_since(get(asked, 4, 8));
+        parts = distributor.parts_since(get(asked, 4, 8));
         put(heads, kTold, 4);
         put(heads, parts.size(), 4);
         for (const auto& part : parts) put(heads, part->size(), 4);
@@ -60,8 +61,8 @@
             buffers.push_back(asio::buffer(*parts[i]));
             total += 4 + parts[i]->size();
         }
-        ++feed.counts_.served;
-        feed.counts_.served_bytes += total;
+        ++distributor.counts_.served;
+        distributor.counts_.served_bytes += total;
         asio::async_write(socket, buffers, [self = shared_from_this()](error_code, std::size_t) {
             error_code ignored;
             self->timer.cancel();
@@ -69,7 +70,7 @@
         });
     }
 
-    Feed& feed;
+    ConfigDistributor& distributor;
     std::shared_ptr<bool> alive;
     tcp::socket socket;
     asio::steady_timer timer;
@@ -78,7 +79,7 @@
     std::vector<std::shared_ptr<const std::string>> parts;
 };
 
-void Feed::accept() {
+void ConfigDistributor::accept() {
     acceptor_.async_accept([this, alive = alive_](error_code ec, tcp::socket socket) {
         if (!*alive || stopped_) return;
         if (ec) {  // no descriptor, most often
@@ -96,7 +97,7 @@
     });
 }
 
-std::vector<std::shared_ptr<const std::string>> Feed::parts_since(Edition have) {
+std::vector<std::shared_ptr<const std::string>> ConfigDistributor::parts_since(Edition have) {
     std::vector<std::shared_ptr<const std::string>> parts;
     if (!held_ || have >= held_->edition) return parts;
     for (const Delta& delta : deltas_)
@@ -112,7 +113,7 @@
 
 // ---- What is held ----------------------------------------------------------------------------------------
 
-Feed::Feed(asio::io_context& io, const std::string& ip, std::uint16_t port)
+ConfigDistributor::ConfigDistributor(asio::io_context& io, const std::string& ip, std::uint16_t port)
     : io_(io),
       ip_(asio::ip::make_address_v4(ip).to_uint()),
       port_(port),
@@ -122,38 +123,39 @@
     accept();
 }
 
-Feed::~Feed() {
+ConfigDistributor::~ConfigDistributor() {
     stop();
     *alive_ = false;
 }
 
-void Feed::install(std::shared_ptr<const Timetable> timetable, std::shared_ptr<const std::string> delta) {
+void ConfigDistributor::install(std::shared_ptr<const Configuration> configuration,
+                                std::shared_ptr<const std::string> delta) {
     if (held_) {
-        if (!delta) delta = std::make_shared<const std::string>(encode_delta(*held_, *timetable));
-        deltas_.push_back({held_->edition, timetable->edition, std::move(delta)});
+        if (!delta) delta = std::make_shared<const std::string>(encode_delta(*held_, *configuration));
+        deltas_.push_back({held_->edition, configuration->edition, std::move(delta)});
         if (deltas_.size() > kMostDeltas) deltas_.pop_front();
     }
-    held_ = std::move(timetable);
+    held_ = std::move(configuration);
     whole_.reset();
     std::erase_if(sources_, [&](const auto& at) { return at.second.edition <= held_->edition; });
 }
 
-void Feed::hold(std::shared_ptr<const Timetable> timetable) {
-    if (timetable && timetable->edition > edition()) install(std::move(timetable), nullptr);
+void ConfigDistributor::hold(std::shared_ptr<const Configuration> configuration) {
+    if (configuration && configuration->edition > edition()) install(std::move(configuration), nullptr);
 }
 
 // ---- Fetching --------------------------------------------------------------------------------------------
 
-struct Feed::Fetching : std::enable_shared_from_this<Fetching> {
-    Fetching(Feed& of, std::uint32_t from)
-        : feed(of), alive(of.alive_), ip(from), socket(of.io_), silence(of.io_), until(of.io_) {}
+struct ConfigDistributor::Fetching : std::enable_shared_from_this<Fetching> {
+    Fetching(ConfigDistributor& of, std::uint32_t from)
+        : distributor(of), alive(of.alive_), ip(from), socket(of.io_), silence(of.io_), until(of.io_) {}
     void start() {
         put(ask, kAsk, 4);
-        put(ask, feed.edition(), 8);
+        put(ask, distributor.edition(), 8);
         wait(until, kFetchWithin);
         wait(silence, kSilence);
-        socket.async_connect({asio::ip::address_v4(ip), feed.port_}, [self =
-                                                                          shared_from_this()](error_code ec) {
+        socket.async_connect({asio::ip::address_v4(ip), distributor.port_}, [self = shared_from_this()](
+                                                                                error_code ec) {
             if (ec) return self->end(ec.message());
             asio::async_write(self->socket, asio::buffer(self->ask), [self](error_code wrote, std::size_t) {
                 if (wrote) return self->end(wrote.message());
@@ -191,7 +193,7 @@
         for (; left > 0 && in.size() >= at + 4; --left) {
             const std::size_t size = get(in, at, 4);
             total += size;
-            if (total > kMostTimetableBytes) return end("an answer that is too long");
+            if (total > kMostConfigurationBytes) return end("an answer that is too long");
             if (in.size() < at + 4 + size) {
                 total -= size;
                 break;
@@ -202,12 +204,12 @@
         in.erase(0, at);
         if (left > 0) return read();
         if (!in.empty()) return end("more bytes than an answer");
-        feed.counts_.fetched_bytes += total;
+        distributor.counts_.fetched_bytes += total;
         std::string why = parts.empty() ? "has nothing newer" : "";
-        if (parts.empty()) feed.sources_.erase(ip);  // until it is hinted again
-        const Edition before = feed.edition();
-        feed.take(parts, why);
-        newer = feed.edition() > before;
+        if (parts.empty()) distributor.sources_.erase(ip);  // until it is hinted again
+        const Edition before = distributor.edition();
+        distributor.take(parts, why);
+        newer = distributor.edition() > before;
         end(why);
     }
     void end(const std::string& why) {
@@ -216,10 +218,10 @@
         socket.close(ignored);
         silence.cancel();
         until.cancel();
-        if (*alive) feed.fetched(ip, newer, why);
+        if (*alive) distributor.fetched(ip, newer, why);
     }
 
-    Feed& feed;
+    ConfigDistributor& distributor;
     std::shared_ptr<bool> alive;
     const std::uint32_t ip;
     tcp::socket socket;
@@ -231,7 +233,7 @@
     bool over = false, newer = false;
 };
 
-void Feed::hint(std::uint32_t ip, Edition edition) {
+void ConfigDistributor::hint(std::uint32_t ip, Edition edition) {
     if (ip == ip_ || edition <= this->edition() || stopped_) return;
     if (sources_.size() >= kMostSources && !sources_.count(ip)) {
         auto least = sources_.begin();
@@ -246,7 +248,7 @@
 }
 
 // From whoever was not tried for the longest time, the newest first; nobody twice within kRetryAfter.
-void Feed::fetch() {
+void ConfigDistributor::fetch() {
     if (fetching_ || stopped_ || sources_.empty()) return;
     auto best = sources_.begin();
     for (auto at = sources_.begin(); at != sources_.end(); ++at)
@@ -266,7 +268,7 @@
     fetching_->start();
 }
 
-void Feed::take(const std::vector<std::string>& parts, std::string& why) {
+void ConfigDistributor::take(const std::vector<std::string>& parts, std::string& why) {
     for (const std::string& part : parts) {
         auto next = decode(part, held_.get(), why);
         if (!next) return;
@@ -276,21 +278,21 @@
     }
 }
 
-void Feed::fetched(std::uint32_t ip, bool newer, const std::string& why) {
+void ConfigDistributor::fetched(std::uint32_t ip, bool newer, const std::string& why) {
     fetching_.reset();
     if (stopped_) return;
     counts_.fetched += newer;
     if (!why.empty()) {
         ++counts_.failed;
-        log_line("SB070 timetable not fetched",
-                 "no timetable from " + asio::ip::address_v4(ip).to_string() + ": " + why,
+        log_line("SB070 configuration not fetched",
+                 "no configuration from " + asio::ip::address_v4(ip).to_string() + ": " + why,
                  {{"from", asio::ip::address_v4(ip).to_string()}, {"why", why}});
     }
     if (newer && on_new) on_new(held_);
     fetch();
 }
 
-void Feed::stop() {
+void ConfigDistributor::stop() {
     stopped_ = true;
     error_code ignored;
     acceptor_.close(ignored);
@@ -299,4 +301,4 @@
     if (const auto fetching = std::move(fetching_)) fetching->end("stopped");
 }
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/timetable_io/feed.hpp
+++ b/src/config_io/config_distributor.hpp
@@ -1,7 +1,7 @@
-// Timetables between nodes, over TCP at an internal port: each node serves what it holds, and fetches what
-// another is known to have. Entry type: Feed. Called by guards (sidecars) and hubs alike: a hub holds what is
-// committed, and whoever has fetched a newer one serves it on. A request names the edition held; the answer
-// is what changed since, or the whole.
+// Configurations between nodes, over TCP at an internal port: each node serves what it holds, and fetches
+// what another is known to have. Entry type: ConfigDistributor. Called by proxies (sidecars) and hubs alike:
+// a hub holds what is committed, and whoever has fetched a newer one serves it on. A request names the
+// edition held; the answer is what changed since, or the whole.
 //
 // Wire: request: kAsk (u32), edition (u64); answer: kTold (u32), number of parts (u32, 0: nothing newer),
 // then each with its length (u32), as codec.hpp makes them; little-endian. One fetch a connection.
@@ -15,30 +15,30 @@
 #include <functional>
 #include <map>
 
+#include "config/configuration.hpp"
 #include "net/http.hpp"
-#include "timetable/timetable.hpp"
 
-namespace cobaltshift::timetable {
+namespace cobaltshift::config {
 
 constexpr std::size_t kMostSources = 32, kMostServed = 128, kMostDeltas = 16;
 constexpr std::chrono::milliseconds kSilence{300}, kFetchWithin{5000}, kServeWithin{10000}, kRetryAfter{100};
 
-class Feed {
+class ConfigDistributor {
 public:
     // Listens at `ip`:`port`; throws boost::system::system_error if it can't.
-    Feed(asio::io_context& io, const std::string& ip, std::uint16_t port);
-    ~Feed();
-    Feed(const Feed&) = delete;
-    Feed& operator=(const Feed&) = delete;
+    ConfigDistributor(asio::io_context& io, const std::string& ip, std::uint16_t port);
+    ~ConfigDistributor();
+    ConfigDistributor(const ConfigDistributor&) = delete;
+    ConfigDistributor& operator=(const ConfigDistributor&) = delete;
 
     // Of a hub: this is committed. What is older than what is held is passed over. on_new is not called.
-    void hold(std::shared_ptr<const Timetable> timetable);
-    std::shared_ptr<const Timetable> held() const { return held_; }
+    void hold(std::shared_ptr<const Configuration> configuration);
+    std::shared_ptr<const Configuration> held() const { return held_; }
     Edition edition() const { return held_ ? held_->edition : 0; }
     // The node at this IPv4 (host order) has this edition.
     void hint(std::uint32_t ip, Edition edition);
     // Something newer was fetched.
-    std::function<void(std::shared_ptr<const Timetable>)> on_new;
+    std::function<void(std::shared_ptr<const Configuration>)> on_new;
     void stop();
 
     struct Counts {
@@ -56,7 +56,8 @@
     };
     void accept();
     std::vector<std::shared_ptr<const std::string>> parts_since(Edition have);
-    void install(std::shared_ptr<const Timetable> timetable, std::shared_ptr<const std::string> delta);
+    void install(std::shared_ptr<const Configuration> configuration,
+                 std::shared_ptr<const std::string> delta);
     void fetch();
     void fetched(std::uint32_t ip, bool newer, const std::string& why);
     void take(const std::vector<std::string>& parts, std::string& why);
@@ -66,7 +67,7 @@
     const std::uint16_t port_;
     tcp::acceptor acceptor_;
     asio::steady_timer accept_timer_, retry_timer_;
-    std::shared_ptr<const Timetable> held_;
+    std::shared_ptr<const Configuration> held_;
     std::weak_ptr<const std::string> whole_;  // of held_, while somebody is being sent it
     std::deque<Delta> deltas_;
     struct Source {
@@ -81,4 +82,4 @@
     Counts counts_;
 };
 
-}  // namespace cobaltshift::timetable
+}  // namespace cobaltshift::config
--- a/src/signalbox/replica.cpp
+++ b/src/control/replica.cpp
@@ -1,116 +1,116 @@
-#include "signalbox/replica.hpp"
+#include "control/replica.hpp"
 
 #include <algorithm>
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 namespace {
 constexpr Millis kLostEvery = 500, kLookEvery = 100;
 }
 
-agree::Stored founded(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders) {
-    agree::Stored stored;
+raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders) {
+    raft::Stored stored;
     stored.fleet = fleet;
     stored.id = own + 1ULL;
     for (const std::uint32_t ip : founders) stored.snapshot.members.push_back({ip + 1ULL, ip, true});
     std::sort(stored.snapshot.members.begin(), stored.snapshot.members.end(),
-              [](const agree::Member& a, const agree::Member& b) { return a.number < b.number; });
+              [](const raft::Member& a, const raft::Member& b) { return a.number < b.number; });
     return stored;
 }
 
-Replica::Replica(const ReplicaSettings& settings, agree::Stored stored, Millis now, std::uint64_t draw)
+Replica::Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw)
     : settings_(settings),
-      keeper_(settings.agree, std::move(stored), now, draw),
+      raft_(settings.agree, std::move(stored), now, draw),
       lost_at_(now + settings.lost_after) {
-    if (!keeper_.snapshot().data.empty() && !ledger_.load(keeper_.snapshot().data))
-        throw agree::Broken("the snapshot is no ledger");
-    applied_ = keeper_.snapshot().index;
+    if (!raft_.snapshot().data.empty() && !state_machine_.load(raft_.snapshot().data))
+        throw raft::Broken("the snapshot is no state_machine");
+    applied_ = raft_.snapshot().index;
 }
 
 // ---- Time, messages --------------------------------------------------------------------------------------
 
 Millis Replica::due() const {
-    Millis due = std::min(keeper_.due(), lost_at_);
+    Millis due = std::min(raft_.due(), lost_at_);
     for (const Waiting& one : waiting_) due = std::min(due, one.until);
     return due;
 }
 
 void Replica::tick(Millis now) {
-    keeper_.tick(now);
-    if (keeper_.leads()) look_after_silent(now);
+    raft_.tick(now);
+    if (raft_.leads()) look_after_silent(now);
     // Dropped while it was cut off, perhaps; or its leader is at an address that it doesn't know of.
-    if (keeper_.role() == agree::Keeper::Role::leader) {
+    if (raft_.role() == raft::RaftNode::Role::leader) {
         lost_at_ = now + settings_.lost_after;
     } else if (now >= lost_at_) {
         lost_at_ = now + kLostEvery;
-        if (!keeper_.retired() && !keeper_.members().empty()) {
-            agree::Message lost;
-            lost.kind = agree::Message::Kind::ask_prevote;
+        if (!raft_.retired() && !raft_.members().empty()) {
+            raft::Message lost;
+            lost.kind = raft::Message::Kind::ask_prevote;
             lost.fleet = settings_.agree.fleet;
-            lost.from = keeper_.id();
+            lost.from = raft_.id();
             lost.number = settings_.agree.number;
-            lost.run = keeper_.run();
-            lost.term = keeper_.term() + 1;
-            lost.last = keeper_.last();
+            lost.run = raft_.run();
+            lost.term = raft_.term() + 1;
+            lost.last = raft_.last();
             to_all_.push_back(std::move(lost));
         }
     }
     look(now);
 }
 
-void Replica::heard(Millis now, const agree::Message& message, bool passed_on) {
-    using Kind = agree::Message::Kind;
-    const bool leads = keeper_.role() == agree::Keeper::Role::leader;
+void Replica::on_message(Millis now, const raft::Message& message, bool passed_on) {
+    using Kind = raft::Message::Kind;
+    const bool leads = raft_.role() == raft::RaftNode::Role::leader;
     const bool asks =
-        message.kind == Kind::join || (message.kind == Kind::ask_prevote && message.to == agree::kNobody);
+        message.kind == Kind::join || (message.kind == Kind::ask_prevote && message.to == raft::kNobody);
     if (asks && !leads) {
         // To whoever leads, where it is another's to decide.
-        const auto leader = passed_on ? std::nullopt : keeper_.leader_number();
-        if (!leader || *leader == message.number || message.from == keeper_.id()) return;
-        agree::Message copy = message;
+        const auto leader = passed_on ? std::nullopt : raft_.leader_number();
+        if (!leader || *leader == message.number || message.from == raft_.id()) return;
+        raft::Message copy = message;
         copy.to_number = *leader;
         if (passed_on_.size() < 16) passed_on_.push_back(std::move(copy));
         return;
     }
-    if (message.kind == Kind::ask_prevote && message.to == agree::kNobody) {
-        agree::Message mine = message;
-        mine.to = keeper_.id();
-        const auto& members = keeper_.members();
+    if (message.kind == Kind::ask_prevote && message.to == raft::kNobody) {
+        raft::Message mine = message;
+        mine.to = raft_.id();
+        const auto& members = raft_.members();
         const bool member = std::any_of(members.begin(), members.end(),
                                         [&](const auto& one) { return one.id == message.from; });
-        if (!member && message.term > keeper_.term() + 1) {
+        if (!member && message.term > raft_.term() + 1) {
             // It stood in a term that nobody here heard of. It takes no word from an older one: a new one is
             // needed.
             mine.kind = Kind::prevote;
             --mine.term;
         }
-        keeper_.heard(now, mine);
+        raft_.on_message(now, mine);
         return;
     }
-    keeper_.heard(now, message);
-    if ((message.kind == Kind::append || message.kind == Kind::snapshot) && message.from == keeper_.leader())
+    raft_.on_message(now, message);
+    if ((message.kind == Kind::append || message.kind == Kind::snapshot) && message.from == raft_.leader())
         leader_heard_ = now, lost_at_ = now + settings_.lost_after;
 }
 
 std::uint32_t Replica::fresh_leader(Millis now) const {
-    if (keeper_.role() == agree::Keeper::Role::leader || now > leader_heard_ + settings_.leader_fresh)
+    if (raft_.role() == raft::RaftNode::Role::leader || now > leader_heard_ + settings_.leader_fresh)
         return 0;
-    return keeper_.leader_number().value_or(0);
+    return raft_.leader_number().value_or(0);
 }
 
 // ---- Members ---------------------------------------------------------------------------------------------
 
-// What the Keeper leaves to its caller: members that are gone for good, so that the next loss finds a
+// What the RaftNode leaves to its caller: members that are gone for good, so that the next loss finds a
 // majority.
 void Replica::look_after_silent(Millis now) {
-    if (now < looked_at_ + kLookEvery || keeper_.changing()) return;
+    if (now < looked_at_ + kLookEvery || raft_.changing()) return;
     looked_at_ = now;
     std::size_t heard = 0;
-    const agree::Member* silent = nullptr;
-    for (const agree::Member& member : keeper_.members()) {
-        const auto peer = keeper_.peers().find(member.id);
-        const bool own = member.id == keeper_.id();
-        if (!own && peer == keeper_.peers().end()) continue;
+    const raft::Member* silent = nullptr;
+    for (const raft::Member& member : raft_.members()) {
+        const auto peer = raft_.peers().find(member.id);
+        const bool own = member.id == raft_.id();
+        if (!own && peer == raft_.peers().end()) continue;
         if (own || now <= peer->second.heard + settings_.heard_within)
             heard += member.voter;
         else if (now > peer->second.heard + settings_.removed_after)
@@ -118,7 +118,7 @@
     }
     // One without a vote is dropped whatever is heard: it adds nothing, and may hold a place.
     if (!silent || (silent->voter && heard < settings_.least_voters)) return;
-    counts_.removals += keeper_.remove(silent->number);
+    counts_.removals += raft_.remove(silent->number);
 }
 
 // ---- The operator's calls --------------------------------------------------------------------------------
@@ -126,8 +126,8 @@
 void Replica::wait(Millis now, Waiting waiting) {
     waiting.until = now + settings_.answer_within;
     const std::uint32_t elsewhere = fresh_leader(now);
-    if (!keeper_.leads() || keeper_.retired() || waiting_.size() >= settings_.most_waiting) {
-        const bool known = !keeper_.leads() && elsewhere != 0;
+    if (!raft_.leads() || raft_.retired() || waiting_.size() >= settings_.most_waiting) {
+        const bool known = !raft_.leads() && elsewhere != 0;
         Reply reply;
         reply.kind = known ? Reply::Kind::elsewhere : Reply::Kind::unavailable;
         reply.leader = known ? elsewhere : 0;
@@ -137,7 +137,7 @@
     look(now);
 }
 
-void Replica::change(Millis now, std::uint64_t client, timetable::Change change) {
+void Replica::change(Millis now, std::uint64_t client, config::Change change) {
     Waiting waiting;
     waiting.client = client;
     waiting.is_change = true;
@@ -159,25 +159,25 @@
 
 // True: answered.
 bool Replica::look_at(Waiting& one) {
-    using Kind = timetable::Verdict::Kind;
+    using Kind = config::ChangeOutcome::Kind;
     if (one.index != 0) return false;  // on its way
     const auto ask = [&] {
-        if (one.question == 0 && keeper_.confirm(next_question_)) one.question = next_question_++;
+        if (one.question == 0 && raft_.confirm(next_question_)) one.question = next_question_++;
         return false;
     };
     Reply reply;
     if (!one.is_change) {
         if (!one.confirmed) return ask();
         ++counts_.reads;
-        reply.current = ledger_.current();
+        reply.current = state_machine_.current();
         reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::nothing_yet;
         return answer(one, std::move(reply)), true;
     }
     if (busy_) return false;  // judged against what comes of the one before
-    timetable::Verdict verdict = ledger_.check(one.change);
+    config::ChangeOutcome verdict = state_machine_.check(one.change);
     reply.edition = verdict.edition;
     if (verdict.kind == Kind::taken) {
-        const auto index = keeper_.propose(encode(one.change));
+        const auto index = raft_.propose(encode(one.change));
         if (!index) return answer(one, Reply()), true;
         one.index = *index;
         busy_ = true;
@@ -195,10 +195,10 @@
 }
 
 void Replica::look(Millis now) {
-    const bool leads = keeper_.leads() && !keeper_.retired() && keeper_.term() == term_;
+    const bool leads = raft_.leads() && !raft_.retired() && raft_.term() == term_;
     // A change whose caller has been sent away is on its way still, as long as this hub leads.
-    if (!leads) busy_ = false, term_ = keeper_.term();
-    const bool current = applied_ >= keeper_.commit();
+    if (!leads) busy_ = false, term_ = raft_.term();
+    const bool current = applied_ >= raft_.commit();
     for (Waiting& one : waiting_) {
         if (!leads || now >= one.until) {
             if (leads) ++counts_.late;
@@ -212,27 +212,28 @@
 
 // ---- What is to be done ----------------------------------------------------------------------------------
 
-void Replica::apply(const agree::Ready& ready, Output& output) {
-    const timetable::Edition before = ledger_.edition();
+void Replica::apply(const raft::Ready& ready, Output& output) {
+    const config::Edition before = state_machine_.edition();
     if (ready.restored) {
         // At the start it was read by the constructor.
-        if (ready.restored->index != applied_ && !ledger_.load(ready.restored->data))
-            throw agree::Broken("the snapshot is no ledger");
+        if (ready.restored->index != applied_ && !state_machine_.load(ready.restored->data))
+            throw raft::Broken("the snapshot is no state_machine");
         applied_ = ready.restored->index;
         log_bytes_ = 0;
     }
-    for (const agree::Committed& one : ready.committed) {
+    for (const raft::Committed& one : ready.committed) {
         applied_ = one.index;
         log_bytes_ += one.entry.data.size() + 32;
-        if (one.entry.kind != agree::Entry::Kind::data) continue;
-        const auto change = timetable::decode_change(one.entry.data);
-        const timetable::Verdict verdict = change ? ledger_.apply(*change) : timetable::Verdict();
+        if (one.entry.kind != raft::Entry::Kind::data) continue;
+        const auto change = config::decode_change(one.entry.data);
+        const config::ChangeOutcome verdict =
+            change ? state_machine_.apply(*change) : config::ChangeOutcome();
         busy_ = false;
         for (Waiting& waiting : waiting_) {
             if (waiting.index != one.index) continue;
             waiting.index = 0;
             // Another leader's entry may stand where ours was to be.
-            if (verdict.kind != timetable::Verdict::Kind::taken || !change ||
+            if (verdict.kind != config::ChangeOutcome::Kind::taken || !change ||
                 change->body != waiting.change.body || change->if_match != waiting.change.if_match)
                 continue;
             ++counts_.taken;
@@ -243,23 +244,22 @@
         }
     }
     std::erase_if(waiting_, [](const Waiting& one) { return one.client == 0; });
-    if (ledger_.edition() != before || (ready.restored && ledger_.current()))
-        output.newest = ledger_.current();
+    if (state_machine_.edition() != before || (ready.restored && state_machine_.current()))
+        output.newest = state_machine_.current();
 }
 
 void Replica::compact() {
-    if (applied_ < keeper_.commit() || applied_ <= keeper_.snapshot().index) return;
-    if (applied_ - keeper_.snapshot().index < settings_.compact_entries &&
-        log_bytes_ < settings_.compact_bytes)
+    if (applied_ < raft_.commit() || applied_ <= raft_.snapshot().index) return;
+    if (applied_ - raft_.snapshot().index < settings_.compact_entries && log_bytes_ < settings_.compact_bytes)
         return;
-    keeper_.compact(applied_, ledger_.save());
+    raft_.compact(applied_, state_machine_.save());
     log_bytes_ = 0;
     ++counts_.compactions;
 }
 
-Output Replica::take(Millis now) {
+Output Replica::take_output(Millis now) {
     Output output;
-    output.ready = keeper_.take();
+    output.ready = raft_.take_ready();
     apply(output.ready, output);
     for (const std::uint64_t question : output.ready.confirmed)
         for (Waiting& one : waiting_)
@@ -270,15 +270,15 @@
     replies_.clear();
     output.to_all = std::move(to_all_);
     to_all_.clear();
-    for (agree::Message& message : passed_on_) output.ready.messages.push_back(std::move(message));
+    for (raft::Message& message : passed_on_) output.ready.messages.push_back(std::move(message));
     passed_on_.clear();
     return output;
 }
 
 // Nothing is asked or proposed between take() and stored().
-void Replica::stored() {
-    keeper_.stored();
+void Replica::persisted() {
+    raft_.persisted();
     look(now_);
 }
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox/replica.hpp
+++ b/src/control/replica.hpp
@@ -1,10 +1,10 @@
-// One hub's replica of the configuration: the agreement (agree::Keeper), the ledger that it leads to, and,
-// while this hub leads, the operator's calls that wait. Entry type: Replica, called by
-// signalbox_io::Signalbox on the hubs and by tests; free of I/O. Standard terms: replicated state machine
+// One hub's replica of the configuration: the agreement (raft::RaftNode), the state machine that it leads to,
+// and, while this hub leads, the operator's calls that wait. Entry type: Replica, called by
+// control_io::ControlNode on the hubs and by tests; free of I/O. Standard terms: replicated state machine
 // over Raft, linearizable reads by read-index.
 //
 // Events go in with their time; after each, while ready(): take(), carry it out in its order (keep and sync,
-// stored(), send, answer). See agree/keeper.hpp for why.
+// stored(), send, answer). See agree/raft.hpp for why.
 //
 // Invariants: 200 leaves only for a change that is committed and applied here, or for a reading after a
 // majority's word that this hub leads still; so do 400 and 412, as a hub that was cut off knows no better;
@@ -15,15 +15,15 @@
 #include <deque>
 #include <map>
 
-#include "agree/keeper.hpp"
-#include "timetable/ledger.hpp"
+#include "config/config_state_machine.hpp"
+#include "raft/raft_node.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
-using agree::Millis;
+using raft::Millis;
 
 struct ReplicaSettings {
-    agree::Settings agree;
+    raft::Settings agree;
     Millis answer_within = 900;   // of a call that waits
     Millis leader_fresh = 500;    // heard within: callers are sent there
     Millis removed_after = 2500;  // a member unheard so long is dropped,
@@ -37,46 +37,46 @@
 
 // A member's number is its IPv4 in host order. What the three founders' folders hold before their first
 // start.
-agree::Stored founded(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders);
+raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders);
 
 struct Reply {
     enum class Kind : std::uint8_t { config, nothing_yet, taken, stale, invalid, elsewhere, unavailable };
     std::uint64_t client = 0;
     Kind kind = Kind::unavailable;
-    timetable::Edition edition = 0;                       // taken: the change's; stale: the current one
-    std::uint32_t leader = 0;                             // elsewhere: its IPv4
-    std::vector<std::string> complaints;                  // invalid
-    std::shared_ptr<const timetable::Timetable> current;  // config
+    config::Edition edition = 0;                           // taken: the change's; stale: the current one
+    std::uint32_t leader = 0;                              // elsewhere: its IPv4
+    std::vector<std::string> complaints;                   // invalid
+    std::shared_ptr<const config::Configuration> current;  // config
 };
 
 struct Output {
-    agree::Ready ready;
-    std::vector<agree::Message> to_all;  // for every hub known, with the same promise as ready.messages
+    raft::Ready ready;
+    std::vector<raft::Message> to_all;  // for every hub known, with the same promise as ready.messages
     std::vector<Reply> replies;
-    std::shared_ptr<const timetable::Timetable> newest;  // applied with this, if any
+    std::shared_ptr<const config::Configuration> newest;  // applied with this, if any
 };
 
 class Replica {
 public:
-    // Throws agree::Broken, also where a snapshot is no ledger.
-    Replica(const ReplicaSettings& settings, agree::Stored stored, Millis now, std::uint64_t draw);
+    // Throws raft::Broken, also where a snapshot is no state machine.
+    Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw);
 
     void tick(Millis now);
     Millis due() const;  // of the next tick
     // `passed_on`: by another hub; goes no further.
-    void heard(Millis now, const agree::Message& message, bool passed_on);
-    void change(Millis now, std::uint64_t client, timetable::Change change);
+    void on_message(Millis now, const raft::Message& message, bool passed_on);
+    void change(Millis now, std::uint64_t client, config::Change change);
     void read(Millis now, std::uint64_t client);
 
-    bool ready() const {
-        return keeper_.ready() || !replies_.empty() || !passed_on_.empty() || !to_all_.empty();
+    bool has_output() const {
+        return raft_.has_ready() || !replies_.empty() || !passed_on_.empty() || !to_all_.empty();
     }
-    Output take(Millis now);
-    void stored();
+    Output take_output(Millis now);
+    void persisted();
     std::size_t waiting() const { return waiting_.size(); }
 
-    const agree::Keeper& keeper() const { return keeper_; }
-    const timetable::Ledger& ledger() const { return ledger_; }
+    const raft::RaftNode& raft() const { return raft_; }
+    const config::ConfigStateMachine& state_machine() const { return state_machine_; }
 
     struct Counts {
         std::uint64_t taken = 0, refused = 0, reads = 0, late = 0, removals = 0, compactions = 0;
@@ -87,11 +87,11 @@
     struct Waiting {
         std::uint64_t client = 0;
         bool is_change = false;
-        timetable::Change change;
+        config::Change change;
         Millis until = 0;
         std::uint64_t question = 0;  // to the majority; 0: none
         bool confirmed = false;
-        agree::Index index = 0;  // of a change on its way; 0: not yet
+        raft::Index index = 0;  // of a change on its way; 0: not yet
     };
     std::uint32_t fresh_leader(Millis now) const;  // 0: none
     void wait(Millis now, Waiting waiting);
@@ -99,22 +99,22 @@
     void look(Millis now);
     bool look_at(Waiting& waiting);
     void look_after_silent(Millis now);
-    void apply(const agree::Ready& ready, Output& output);
+    void apply(const raft::Ready& ready, Output& output);
     void compact();
 
     const ReplicaSettings settings_;
-    agree::Keeper keeper_;
-    timetable::Ledger ledger_;
-    agree::Index applied_ = 0;
+    raft::RaftNode raft_;
+    config::ConfigStateMachine state_machine_;
+    raft::Index applied_ = 0;
     std::size_t log_bytes_ = 0;  // since the last snapshot
     Millis now_ = 0, leader_heard_ = -1e18, lost_at_ = 0, looked_at_ = 0;
-    bool busy_ = false;     // a change is on its way
-    agree::Term term_ = 0;  // in which it is
+    bool busy_ = false;    // a change is on its way
+    raft::Term term_ = 0;  // in which it is
     std::deque<Waiting> waiting_;
     std::uint64_t next_question_ = 1;
     std::vector<Reply> replies_;
-    std::vector<agree::Message> passed_on_, to_all_;
+    std::vector<raft::Message> passed_on_, to_all_;
     Counts counts_;
 };
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/config_resource.cpp
+++ b/src/control_io/config_resource.cpp
@@ -1,11 +1,11 @@
-#include "signalbox_io/config_resource.hpp"
+#include "control_io/config_resource.hpp"
 
 #include <json/json.h>
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <utility>
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 namespace {
 
@@ -38,9 +38,9 @@
     return answer;
 }
 
-ApiAnswer with_edition(unsigned status, const char* key, timetable::Edition edition) {
+ApiAnswer with_edition(unsigned status, const char* key, config::Edition edition) {
     Json::Value body;
-    body[key] = timetable::to_text(edition);
+    body[key] = config::to_text(edition);
     ApiAnswer answer;
     answer.status = status;
     answer.body = compact(body);
@@ -51,14 +51,13 @@
 
 bool ConfigResource::handle(const ApiRequest& request, std::function<void(ApiAnswer)> done) {
     if (request.target.substr(0, request.target.find('?')) != "/api/config") return false;
-    std::optional<timetable::Change> change;
+    std::optional<config::Change> change;
     if (request.method == "PUT" || request.method == "PATCH") {
-        const auto base = timetable::parse_if_match(request.if_match);
+        const auto base = config::parse_if_match(request.if_match);
         if (!base) return done(invalid({"If-Match: is missing, or is no version"})), true;
         if (request.body.size() > kLongestBody) return done(refused(413, "the body is too long")), true;
         change.emplace();
-        change->kind =
-            request.method == "PUT" ? timetable::Change::Kind::put : timetable::Change::Kind::patch;
+        change->kind = request.method == "PUT" ? config::Change::Kind::put : config::Change::Kind::patch;
         change->if_match = *base;
         change->body = request.body;
     } else if (request.method != "GET") {
@@ -84,7 +83,7 @@
     switch (reply.kind) {
         case Reply::Kind::config: {
             ApiAnswer answer;
-            answer.body = timetable::to_json(*reply.current);
+            answer.body = config::to_json(*reply.current);
             return call.done(std::move(answer));
         }
         case Reply::Kind::nothing_yet:
@@ -106,4 +105,4 @@
     }
 }
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/config_resource.hpp
+++ b/src/control_io/config_resource.hpp
@@ -1,23 +1,23 @@
 // GET, PUT and PATCH of /api/config, as the operator calls them. Entry type: ConfigResource, a Resource that
-// whoever listens at the `control` address asks. Called through Signalbox::config(); carries the calls to the
-// replica and its replies back.
+// whoever listens at the `control` address asks. Called through ControlNode::config(); carries the calls to
+// the replica and its replies back.
 #pragma once
 
 #include <functional>
 #include <map>
 
-#include "desk/api.hpp"
-#include "signalbox/replica.hpp"
+#include "api/api.hpp"
+#include "control/replica.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
-constexpr std::size_t kLongestBody = agree::kMaxEntryBytes - 256;
+constexpr std::size_t kLongestBody = raft::kMaxEntryBytes - 256;
 constexpr std::size_t kMostCalls = 128;  // open at once
 
 class ConfigResource : public Resource {
 public:
     // To the replica: a reading where there is no change. False: there is no replica now.
-    using Ask = std::function<bool(std::uint64_t client, std::optional<timetable::Change>)>;
+    using Ask = std::function<bool(std::uint64_t client, std::optional<config::Change>)>;
     ConfigResource(std::uint16_t control_port, Ask ask) : control_port_(control_port), ask_(std::move(ask)) {}
 
     bool handle(const ApiRequest& request, std::function<void(ApiAnswer)> done) override;
@@ -37,4 +37,4 @@
     std::uint64_t next_ = 1;
 };
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/signalbox.cpp
+++ b/src/control_io/control_node.cpp
@@ -1,4 +1,4 @@
-#include "signalbox_io/signalbox.hpp"
+#include "control_io/control_node.hpp"
 
 #include <json/json.h>
 #include <sys/random.h>
@@ -7,7 +7,7 @@
 
 #include "log/log.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 namespace {
 
@@ -15,7 +15,7 @@
     0x5349474e414c0001;  // of all hubs that speak this; the last digits are the format's
 constexpr std::size_t kMostHubs = 64;
 
-agree::Millis now() {
+raft::Millis now() {
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
@@ -29,9 +29,9 @@
 
 std::string text_of(std::uint32_t ip) { return asio::ip::address_v4(ip).to_string(); }
 
-std::string text_of(const agree::Members& members) {
+std::string text_of(const raft::Members& members) {
     std::string text;
-    for (const agree::Member& member : members) {
+    for (const raft::Member& member : members) {
         if (!text.empty()) text += ' ';
         text += text_of(member.number);
         if (!member.voter) text += "(no vote)";
@@ -39,11 +39,11 @@
     return text;
 }
 
-const char* name_of(agree::Keeper::Role role) {
+const char* name_of(raft::RaftNode::Role role) {
     switch (role) {
-        case agree::Keeper::Role::leader:
+        case raft::RaftNode::Role::leader:
             return "leader";
-        case agree::Keeper::Role::follower:
+        case raft::RaftNode::Role::follower:
             return "follower";
         default:
             return "candidate";
@@ -52,13 +52,13 @@
 
 }  // namespace
 
-Signalbox::Signalbox(asio::io_context& io, const boot::Boot& boot, timetable::Feed& feed)
+ControlNode::ControlNode(asio::io_context& io, const boot::Boot& boot, config::ConfigDistributor& distributor)
     : io_(io),
       boot_(boot),
-      feed_(feed),
+      distributor_(distributor),
       ip_(asio::ip::make_address_v4(boot.ip).to_uint()),
       config_(boot.control ? boot.control->port() : 0,
-              [this](std::uint64_t client, std::optional<timetable::Change> change) {
+              [this](std::uint64_t client, std::optional<config::Change> change) {
                   if (!replica_ || stopping_) return false;
                   event([&] {
                       if (change)
@@ -78,13 +78,13 @@
     settings_.agree.election = 450;
     for (const auto& seed : boot.seeds) seeds_.push_back(seed.address().to_v4().to_uint());
     peers_ = std::make_unique<Peers>(io, boot.ip, static_cast<std::uint16_t>(boot.first_port + 2),
-                                     [this](const agree::Message& message, bool passed_on) {
-                                         event([&] { replica_->heard(now(), message, passed_on); });
+                                     [this](const raft::Message& message, bool passed_on) {
+                                         event([&] { replica_->on_message(now(), message, passed_on); });
                                      });
     open();
 }
 
-Signalbox::~Signalbox() {
+ControlNode::~ControlNode() {
     *alive_ = false;
     stop_done_ = nullptr;
     halt();
@@ -92,7 +92,7 @@
 
 // ---- The folder ------------------------------------------------------------------------------------------
 
-void Signalbox::open() {
+void ControlNode::open() {
     replica_.reset();
     store_.reset();  // before it is opened anew
     try {
@@ -105,8 +105,8 @@
         if (!stored) {
             const bool founder = boot_.first_boot && store_->why().empty() &&
                                  std::find(seeds_.begin(), seeds_.end(), ip_) != seeds_.end();
-            stored = founder ? founded(kFleet, ip_, seeds_)
-                             : agree::newcomer(kFleet, agree::kFirstDrawn + (drawn() >> 4));
+            stored = founder ? bootstrap(kFleet, ip_, seeds_)
+                             : raft::newcomer(kFleet, raft::kFirstDrawn + (drawn() >> 4));
             store_->begin(*stored);
             log_line(founder ? "SB004 founder" : "SB002 newcomer",
                      founder ? "one of the first hubs: " + text_of(stored->snapshot.members)
@@ -122,7 +122,7 @@
     event([] {});
 }
 
-void Signalbox::refuses(const std::string& why) {
+void ControlNode::refuses(const std::string& why) {
     disk_ = "refuses: " + why;
     log_line("SB020 disk refuses", "nothing is agreed here until the folder can be written: " + why,
              {{"why", why}});
@@ -139,7 +139,7 @@
 // ---- The order of what is done ---------------------------------------------------------------------------
 
 // What came together is kept together: the pump waits until all that has been read is taken in.
-void Signalbox::event(const std::function<void()>& what) {
+void ControlNode::event(const std::function<void()>& what) {
     if (stopped_ || !replica_) return;
     guarded(what);
     if (stopped_ || std::exchange(pump_posted_, true)) return;
@@ -150,23 +150,23 @@
     });
 }
 
-void Signalbox::guarded(const std::function<void()>& what) {
+void ControlNode::guarded(const std::function<void()>& what) {
     try {
         what();
-    } catch (const std::exception& fault) {  // agree::Broken, StoreForeign
+    } catch (const std::exception& fault) {  // raft::Broken, StoreForeign
         over(fault.what());
     }
 }
 
-void Signalbox::over(const std::string& why) {
+void ControlNode::over(const std::string& why) {
     log_line("SB030 hub stops", "this hub can't go on: " + why, {{"why", why}});
     if (!std::exchange(told_over_, true) && on_over) asio::post(io_, [told = on_over, why] { told(why); });
     halt();
 }
 
-void Signalbox::send(const agree::Message& message) {
+void ControlNode::send(const raft::Message& message) {
     const bool own = message.number == ip_;
-    if (message.kind != agree::Message::Kind::join || !own)
+    if (message.kind != raft::Message::Kind::join || !own)
         return peers_->send(message.to_number, message, !own);
     // To nobody in particular: to all that may be hubs.
     for (const std::uint32_t ip : seeds_) peers_->send(ip, message, false);
@@ -174,11 +174,11 @@
         if (std::find(seeds_.begin(), seeds_.end(), ip) == seeds_.end()) peers_->send(ip, message, false);
 }
 
-void Signalbox::pump() {
-    while (!stopped_ && replica_ && replica_->ready()) {
-        Output output = replica_->take(now());
+void ControlNode::pump() {
+    while (!stopped_ && replica_ && replica_->has_output()) {
+        Output output = replica_->take_output(now());
         if (output.ready.writes()) {
-            const agree::Millis before = now();
+            const raft::Millis before = now();
             try {
                 store_->keep(output.ready);
             } catch (const StoreRefuses& fault) {
@@ -190,25 +190,25 @@
             replica_.reset();
             log_line("SB014 no member any more", "dropped while it was away: a new life without a vote");
             try {
-                store_->begin(agree::newcomer(kFleet, agree::kFirstDrawn + (drawn() >> 4)));
+                store_->begin(raft::newcomer(kFleet, raft::kFirstDrawn + (drawn() >> 4)));
             } catch (const StoreRefuses& fault) {
                 return refuses(fault.what());
             }
             config_.dismiss_all();
             return open();
         }
-        replica_->stored();
-        for (const agree::Message& message : output.ready.messages) send(message);
-        for (const agree::Message& message : output.to_all) {
+        replica_->persisted();
+        for (const raft::Message& message : output.ready.messages) send(message);
+        for (const raft::Message& message : output.to_all) {
             std::vector<std::uint32_t> all = seeds_;
             all.insert(all.end(), hubs_.begin(), hubs_.end());
-            for (const agree::Member& member : replica_->keeper().members()) all.push_back(member.number);
+            for (const raft::Member& member : replica_->raft().members()) all.push_back(member.number);
             std::sort(all.begin(), all.end());
             all.erase(std::unique(all.begin(), all.end()), all.end());
             for (const std::uint32_t ip : all) peers_->send(ip, message, false);
         }
         if (output.newest) {
-            feed_.hold(output.newest);
+            distributor_.hold(output.newest);
             if (on_edition) on_edition(output.newest->edition);
             if (stopped_ || !replica_) return;
         }
@@ -220,7 +220,7 @@
     schedule();
 }
 
-void Signalbox::schedule() {
+void ControlNode::schedule() {
     const double wait = std::clamp(replica_->due() - now(), 0.0, 60000.0);
     timer_.expires_after(std::chrono::microseconds(static_cast<long>(wait * 1000) + 1));
     timer_.async_wait([this, alive = alive_](error_code ec) {
@@ -228,18 +228,18 @@
     });
 }
 
-void Signalbox::tell() {
-    const agree::Keeper& keeper = replica_->keeper();
-    const std::uint32_t leader = keeper.leader_number().value_or(0);
-    if (const bool leads = keeper.leads(); leads != std::exchange(led_, leads))
+void ControlNode::tell() {
+    const raft::RaftNode& raft = replica_->raft();
+    const std::uint32_t leader = raft.leader_number().value_or(0);
+    if (const bool leads = raft.leads(); leads != std::exchange(led_, leads))
         log_line(leads ? "SB012 leader elected" : "SB013 leads no more",
                  (leads ? "this hub leads in term " : "this hub leads no more; term ") +
-                     std::to_string(keeper.term()),
-                 {{"term", keeper.term()}});
+                     std::to_string(raft.term()),
+                 {{"term", raft.term()}});
     if (leader != 0 && leader != std::exchange(told_leader_, leader) && leader != ip_)
         log_line("SB011 follows", "follows " + text_of(leader),
-                 {{"leader", text_of(leader)}, {"term", keeper.term()}});
-    if (std::string members = text_of(keeper.members()); members != told_members_) {
+                 {{"leader", text_of(leader)}, {"term", raft.term()}});
+    if (std::string members = text_of(raft.members()); members != told_members_) {
         log_line("SB015 members", "the members are " + members, {{"members", members}});
         told_members_ = std::move(members);
     }
@@ -247,12 +247,12 @@
 
 // ---- From outside ----------------------------------------------------------------------------------------
 
-void Signalbox::hubs(std::vector<std::uint32_t> ips) {
+void ControlNode::hubs(std::vector<std::uint32_t> ips) {
     hubs_ = std::move(ips);
     if (hubs_.size() > kMostHubs) hubs_.resize(kMostHubs);
 }
 
-void Signalbox::stop(std::function<void()> done) {
+void ControlNode::stop(std::function<void()> done) {
     if (stopped_) {
         if (done) asio::post(io_, done);
         return;
@@ -266,7 +266,7 @@
     });
 }
 
-void Signalbox::halt() {
+void ControlNode::halt() {
     if (std::exchange(stopped_, true)) return;
     timer_.cancel();
     store_timer_.cancel();
@@ -278,33 +278,33 @@
     if (stop_done_) asio::post(io_, std::exchange(stop_done_, nullptr));
 }
 
-std::string Signalbox::status() const {
+std::string ControlNode::status() const {
     Json::Value said;
     said["ip"] = boot_.ip;
     said["disk"] = disk_;
     said["longest_sync_ms"] = longest_sync_;
-    said["edition"] = timetable::to_text(edition());
+    said["edition"] = config::to_text(edition());
     if (replica_) {
-        const agree::Keeper& keeper = replica_->keeper();
-        said["role"] = name_of(keeper.role());
-        said["founder"] = keeper.id() < agree::kFirstDrawn;
-        said["leads"] = keeper.leads();
-        said["leader"] = keeper.leader_number() ? text_of(*keeper.leader_number()) : "";
-        said["term"] = Json::UInt64(keeper.term());
-        said["commit"] = Json::UInt64(keeper.commit());
-        said["last"] = Json::UInt64(keeper.last());
+        const raft::RaftNode& raft = replica_->raft();
+        said["role"] = name_of(raft.role());
+        said["founder"] = raft.id() < raft::kFirstDrawn;
+        said["leads"] = raft.leads();
+        said["leader"] = raft.leader_number() ? text_of(*raft.leader_number()) : "";
+        said["term"] = Json::UInt64(raft.term());
+        said["commit"] = Json::UInt64(raft.commit());
+        said["last"] = Json::UInt64(raft.last());
         said["voter"] = false;
         said["members"] = Json::arrayValue;
-        for (const agree::Member& member : keeper.members()) {
+        for (const raft::Member& member : raft.members()) {
             Json::Value one;
             one["ip"] = text_of(member.number);
             one["voter"] = member.voter;
-            const auto peer = keeper.peers().find(member.id);
-            if (keeper.leads() && peer != keeper.peers().end()) one["silent_ms"] = now() - peer->second.heard;
-            if (member.id == keeper.id()) said["voter"] = member.voter;
+            const auto peer = raft.peers().find(member.id);
+            if (raft.leads() && peer != raft.peers().end()) one["silent_ms"] = now() - peer->second.heard;
+            if (member.id == raft.id()) said["voter"] = member.voter;
             said["members"].append(one);
         }
-        said["elections"] = Json::UInt64(keeper.counts().elections);
+        said["elections"] = Json::UInt64(raft.counts().elections);
         said["taken"] = Json::UInt64(replica_->counts().taken);
         said["waiting"] = Json::UInt64(replica_->waiting());
     }
@@ -314,4 +314,4 @@
     return Json::writeString(writer, said);
 }
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/signalbox.hpp
+++ b/src/control_io/control_node.hpp
@@ -1,10 +1,10 @@
 // A hub's control plane (railways: the box from which signals are set): one replica of the configuration,
-// with its folder and its peers, on one event loop. Entry type: Signalbox. Called by the program of that
-// name, and by tests. See signalbox/replica.hpp for what it promises and docs/operate/events-signalbox.md for
-// what it logs.
+// with its folder and its peers, on one event loop. Entry type: ControlNode. Called by the program of that
+// name, and by tests. See control/replica.hpp for what it promises and docs/operate/events-control node.md
+// for what it logs.
 //
-// Internal ports: boot.first_port + 2 for peers; the feed has its own. Where the folder refuses, the replica
-// ends and the folder is tried again every kStoreAgain; meanwhile calls get 503.
+// Internal ports: boot.first_port + 2 for peers; the distributor has its own. Where the folder refuses, the
+// replica ends and the folder is tried again every kStoreAgain; meanwhile calls get 503.
 #pragma once
 
 #include <memory>
@@ -12,33 +12,33 @@
 #include <vector>
 
 #include "boot/boot.hpp"
-#include "signalbox_io/config_resource.hpp"
-#include "signalbox_io/peers.hpp"
-#include "signalbox_io/store.hpp"
-#include "timetable_io/feed.hpp"
+#include "config_io/config_distributor.hpp"
+#include "control_io/config_resource.hpp"
+#include "control_io/peers.hpp"
+#include "control_io/store.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 constexpr std::chrono::milliseconds kStoreAgain{300}, kStopWithin{600};
 
-class Signalbox {
+class ControlNode {
 public:
-    // `feed` and `boot` outlive it. Throws StoreForeign if the folder is another's,
+    // `distributor` and `boot` outlive it. Throws StoreForeign if the folder is another's,
     // boost::system::system_error if a port is taken.
-    Signalbox(asio::io_context& io, const boot::Boot& boot, timetable::Feed& feed);
-    ~Signalbox();
-    Signalbox(const Signalbox&) = delete;
-    Signalbox& operator=(const Signalbox&) = delete;
+    ControlNode(asio::io_context& io, const boot::Boot& boot, config::ConfigDistributor& distributor);
+    ~ControlNode();
+    ControlNode(const ControlNode&) = delete;
+    ControlNode& operator=(const ControlNode&) = delete;
 
     Resource& config() { return config_; }
     // Hubs that there are, as gossip tells (IPv4 in host order); the seeds are known anyway.
     void hubs(std::vector<std::uint32_t> ips);
-    bool leads() const { return replica_ && replica_->keeper().leads(); }
-    timetable::Edition edition() const { return replica_ ? replica_->ledger().edition() : 0; }
+    bool leads() const { return replica_ && replica_->raft().leads(); }
+    config::Edition edition() const { return replica_ ? replica_->state_machine().edition() : 0; }
     std::string status() const;  // JSON
-    // Committed and held by the feed from now on: to be told of at once. May be called from within the
+    // Committed and held by the distributor from now on: to be told of at once. May be called from within the
     // constructor's first turn of the loop, not from the constructor.
-    std::function<void(timetable::Edition)> on_edition;
+    std::function<void(config::Edition)> on_edition;
 
     // A planned end: what is on its way is answered, then it falls silent; `done` within kStopWithin.
     void stop(std::function<void()> done = {});
@@ -55,12 +55,12 @@
     void refuses(const std::string& why);
     void over(const std::string& why);
     void tell();
-    void send(const agree::Message& message);
+    void send(const raft::Message& message);
     void halt();
 
     asio::io_context& io_;
     const boot::Boot& boot_;
-    timetable::Feed& feed_;
+    config::ConfigDistributor& distributor_;
     const std::uint32_t ip_;
     ReplicaSettings settings_;
     std::vector<std::uint32_t> seeds_, hubs_;
@@ -73,9 +73,9 @@
     bool led_ = false;
     std::uint32_t told_leader_ = 0;
     std::string disk_ = "new", told_members_;
-    agree::Millis longest_sync_ = 0;
+    raft::Millis longest_sync_ = 0;
     std::function<void()> stop_done_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/peers.cpp
+++ b/src/control_io/peers.cpp
@@ -1,12 +1,12 @@
-#include "signalbox_io/peers.hpp"
+#include "control_io/peers.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 
-#include "agree/codec.hpp"
 #include "log/log.hpp"
+#include "raft/codec.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 namespace {
 
@@ -140,7 +140,7 @@
         while (in.size() >= at + 4) {
             std::size_t size = 0;
             for (std::size_t i = 4; i > 0; --i) size = size << 8 | static_cast<unsigned char>(in[at + i - 1]);
-            if (size > agree::kMaxMessageBytes + 1) return close();
+            if (size > raft::kMaxMessageBytes + 1) return close();
             if (in.size() < at + 4 + size) break;
             if (!peers.take(std::string_view(in).substr(at + 4, size))) return close();
             if (!*alive || !socket.is_open()) return;
@@ -203,7 +203,7 @@
 bool Peers::take(std::string_view bytes) {
     std::string why;
     if (!bytes.empty() && (bytes.front() == kOwn || bytes.front() == kPassedOn)) {
-        const auto message = agree::decode_message(bytes.substr(1), why);
+        const auto message = raft::decode_message(bytes.substr(1), why);
         if (message) {
             if (!stopped_) heard_(*message, bytes.front() == kPassedOn);
             return true;
@@ -250,10 +250,10 @@
     });
 }
 
-void Peers::send(std::uint32_t ip, const agree::Message& message, bool passed_on) {
+void Peers::send(std::uint32_t ip, const raft::Message& message, bool passed_on) {
     if (stopped_ || ip == 0 || ip == ip_.to_uint()) return;
     std::string bytes(1, passed_on ? kPassedOn : kOwn);
-    bytes += agree::encode(message);
+    bytes += raft::encode(message);
     if (bytes.size() <= kLongestDatagram) {
         ++counts_.datagrams;
         error_code ec;
@@ -276,4 +276,4 @@
     line->send(frame + bytes);
 }
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/peers.hpp
+++ b/src/control_io/peers.hpp
@@ -1,9 +1,9 @@
 // What hubs say to one another: datagrams for what is short, a TCP connection kept to each for what is
-// longer, both at one internal port. Entry type: Peers. Called by Signalbox alone. As lossy as a network:
+// longer, both at one internal port. Entry type: Peers. Called by ControlNode alone. As lossy as a network:
 // whatever can't be delivered soon is dropped, and the agreement says it again.
 //
 // Wire: a datagram, or a frame with its length (u32, little-endian) before it, is kOwn or kPassedOn (by a hub
-// that is not its author; goes no further), then an agree::Message. A connection on which nothing moves for
+// that is not its author; goes no further), then an raft::Message. A connection on which nothing moves for
 // kStuck is dropped, and dialled anew with the next long message; bad bytes end a connection.
 #pragma once
 
@@ -12,18 +12,18 @@
 #include <functional>
 #include <map>
 
-#include "agree/types.hpp"
 #include "net/http.hpp"
+#include "raft/types.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 constexpr std::size_t kLongestDatagram = 1200, kMostConnections = 32;
-constexpr std::size_t kMostQueued = agree::kMaxMessageBytes + 1024 * 1024;  // bytes to one hub
+constexpr std::size_t kMostQueued = raft::kMaxMessageBytes + 1024 * 1024;  // bytes to one hub
 constexpr std::chrono::milliseconds kStuck{700}, kIdle{30000};
 
 class Peers {
 public:
-    using Heard = std::function<void(const agree::Message&, bool passed_on)>;
+    using Heard = std::function<void(const raft::Message&, bool passed_on)>;
 
     // Listens at `ip`:`port`, UDP and TCP; throws boost::system::system_error if it can't.
     Peers(asio::io_context& io, const std::string& ip, std::uint16_t port, Heard heard);
@@ -31,7 +31,7 @@
     Peers(const Peers&) = delete;
     Peers& operator=(const Peers&) = delete;
 
-    void send(std::uint32_t ip, const agree::Message& message, bool passed_on);
+    void send(std::uint32_t ip, const raft::Message& message, bool passed_on);
     void stop();
 
     struct Counts {
@@ -63,4 +63,4 @@
     Counts counts_;
 };
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/store.cpp
+++ b/src/control_io/store.cpp
@@ -1,4 +1,4 @@
-#include "signalbox_io/store.hpp"
+#include "control_io/store.hpp"
 
 #include <fcntl.h>
 #include <leveldb/cache.h>
@@ -10,10 +10,10 @@
 #include <filesystem>
 #include <map>
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 #include "store/sealed.hpp"
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 namespace {
 
@@ -37,7 +37,7 @@
     for (std::size_t i = 0; i < 8; ++i) value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
     return value;
 }
-std::string entry_key(agree::Index index) { return kEntries + number(index); }
+std::string entry_key(raft::Index index) { return kEntries + number(index); }
 
 // The format's number, then what is kept, then the sum of key and all that.
 std::string record(std::string_view key, std::string_view what) {
@@ -136,9 +136,9 @@
 }
 
 Store::Read Store::read() {
-    agree::Stored s;
+    raft::Stored s;
     bool header = false, vote = false, snapshot = false;
-    std::map<agree::Index, agree::Entry> entries;
+    std::map<raft::Index, raft::Entry> entries;
     const std::unique_ptr<leveldb::Iterator> at(db_->NewIterator({}));
     const auto rotten = [&](const std::string& key, const std::string& what) {
         why_ = "record '";
@@ -171,12 +171,12 @@
             s.voted = number_at(what, 8);
             vote = true;
         } else if (key == kSnapshot) {
-            auto decoded = agree::decode_snapshot(what);
+            auto decoded = raft::decode_snapshot(what);
             if (!decoded) return rotten(key, "is no snapshot");
             s.snapshot = std::move(*decoded);
             snapshot = true;
         } else if (key.size() == 9 && key.starts_with(kEntries)) {
-            auto entry = agree::decode_entry(what);
+            auto entry = raft::decode_entry(what);
             if (!entry) return rotten(key, "is no entry");
             entries[number_at(key, 1)] = std::move(*entry);
         }
@@ -230,20 +230,20 @@
 }
 
 void Store::clear(leveldb::WriteBatch& batch) const {
-    for (agree::Index index = first_; index <= last_; ++index) batch.Delete(entry_key(index));
+    for (raft::Index index = first_; index <= last_; ++index) batch.Delete(entry_key(index));
 }
 
-void Store::begin(const agree::Stored& stored) {
+void Store::begin(const raft::Stored& stored) {
     leveldb::WriteBatch batch;
     clear(batch);
     id_ = stored.id;
     starts_ = stored.starts;
     put_header(batch);
     put(batch, kVote, number(stored.term) + number(stored.voted));
-    put(batch, kSnapshot, agree::encode(stored.snapshot));
+    put(batch, kSnapshot, raft::encode(stored.snapshot));
     first_ = stored.snapshot.index + 1;
     last_ = stored.snapshot.index;
-    for (const agree::Entry& entry : stored.entries) put(batch, entry_key(++last_), agree::encode(entry));
+    for (const raft::Entry& entry : stored.entries) put(batch, entry_key(++last_), raft::encode(entry));
     write(batch);
 }
 
@@ -254,21 +254,21 @@
     write(batch);
 }
 
-void Store::keep(const agree::Ready& ready) {
+void Store::keep(const raft::Ready& ready) {
     leveldb::WriteBatch batch;
     if (ready.vote) put(batch, kVote, number(ready.vote->term) + number(ready.vote->voted));
     if (ready.snapshot) {
         clear(batch);
-        put(batch, kSnapshot, agree::encode(*ready.snapshot));
+        put(batch, kSnapshot, raft::encode(*ready.snapshot));
         first_ = ready.snapshot->index + 1;
         last_ = ready.snapshot->index;
     }
     if (ready.from > 0) {
-        for (agree::Index index = ready.from; index <= last_; ++index) batch.Delete(entry_key(index));
+        for (raft::Index index = ready.from; index <= last_; ++index) batch.Delete(entry_key(index));
         last_ = ready.from - 1;
-        for (const agree::Entry& entry : ready.entries) put(batch, entry_key(++last_), agree::encode(entry));
+        for (const raft::Entry& entry : ready.entries) put(batch, entry_key(++last_), raft::encode(entry));
     }
     write(batch);
 }
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/signalbox_io/store.hpp
+++ b/src/control_io/store.hpp
@@ -1,5 +1,5 @@
-// A hub's folder on disk: what its replica must not forget (agree::Stored), in LevelDB. Entry type: Store.
-// Called by Signalbox alone. A batch for each Ready, synced before it returns; each record carries its
+// A hub's folder on disk: what its replica must not forget (raft::Stored), in LevelDB. Entry type: Store.
+// Called by ControlNode alone. A batch for each Ready, synced before it returns; each record carries its
 // format's number and the XXH3 of its key and itself.
 //
 // Errors: StoreRefuses (the disk refuses: nothing of the batch may be relied upon; open it anew later) and
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "agree/keeper.hpp"
+#include "raft/raft_node.hpp"
 
 namespace leveldb {
 class DB;
@@ -21,7 +21,7 @@
 class Cache;
 }  // namespace leveldb
 
-namespace cobaltshift::signalbox {
+namespace cobaltshift::control {
 
 struct StoreRefuses : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -37,14 +37,14 @@
     ~Store();
 
     // What it holds; none: it is empty, or was set aside.
-    std::optional<agree::Stored> take() { return std::move(stored_); }
+    std::optional<raft::Stored> take() { return std::move(stored_); }
     const std::string& why() const { return why_; }  // not empty: a folder was set aside
 
     // From here on it holds this and nothing else.
-    void begin(const agree::Stored& stored);
+    void begin(const raft::Stored& stored);
     // Of another run: counted, and kept. Called once, before anything is said.
     void starts(std::uint64_t count);
-    void keep(const agree::Ready& ready);
+    void keep(const raft::Ready& ready);
 
     std::uint64_t syncs() const { return syncs_; }
 
@@ -62,13 +62,13 @@
     std::unique_ptr<leveldb::Logger> logger_;
     std::unique_ptr<leveldb::Cache> cache_;
     std::unique_ptr<leveldb::DB> db_;
-    std::optional<agree::Stored> stored_;
-    agree::KeeperId id_ = 0;
+    std::optional<raft::Stored> stored_;
+    raft::MemberId id_ = 0;
     std::uint64_t starts_ = 0;
-    agree::Index first_ = 1, last_ = 0;  // of the entries it holds
+    raft::Index first_ = 1, last_ = 0;  // of the entries it holds
     std::string why_;
     bool refused_ = false;  // a write: this one takes no more
     std::uint64_t syncs_ = 0;
 };
 
-}  // namespace cobaltshift::signalbox
+}  // namespace cobaltshift::control
--- a/src/watch/watch.cpp
+++ b/src/failure_detector/failure_detector.cpp
@@ -1,29 +1,30 @@
-#include "watch/watch.hpp"
+#include "failure_detector/failure_detector.hpp"
 
 #include <algorithm>
 
-namespace cobaltshift::watch {
+namespace cobaltshift::failure_detector {
 
-Watch::Watch(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
+FailureDetector::FailureDetector(const Settings& settings, std::uint64_t seed)
+    : settings_(settings), random_(seed) {}
 
-std::vector<Watch::Member>::iterator Watch::at(std::uint32_t ip) {
+std::vector<FailureDetector::Member>::iterator FailureDetector::at(std::uint32_t ip) {
     return std::lower_bound(members_.begin(), members_.end(), ip,
                             [](const Member& member, std::uint32_t wanted) { return member.ip < wanted; });
 }
 
-Watch::Member* Watch::find(std::uint32_t ip) {
+FailureDetector::Member* FailureDetector::find(std::uint32_t ip) {
     const auto found = at(ip);
     return found == members_.end() || found->ip != ip ? nullptr : &*found;
 }
 
-void Watch::suspect(Millis now, Member& member, bool own) {
+void FailureDetector::suspect(Millis now, Member& member, bool own) {
     member.own = own;
     member.began = now;
     member.until = now + settings_.suspicion + (own ? 0 : settings_.heard_more);
     member.again = own ? now + settings_.again : 1e18;
 }
 
-void Watch::set(Millis now, std::uint32_t ip, Standing standing) {
+void FailureDetector::set(Millis now, std::uint32_t ip, Standing standing) {
     Member* member = find(ip);
     if (!member) {
         member = &*members_.insert(at(ip), Member{ip, standing});
@@ -44,7 +45,7 @@
     work_out_due();
 }
 
-void Watch::remove(std::uint32_t ip) {
+void FailureDetector::remove(std::uint32_t ip) {
     const auto member = at(ip);
     if (member == members_.end() || member->ip != ip) return;
     suspects_ -= member->standing == Standing::suspect;
@@ -57,12 +58,12 @@
     work_out_due();
 }
 
-void Watch::restart(Millis now) {
+void FailureDetector::restart(Millis now) {
     for (Member& member : members_)
         if (member.standing == Standing::suspect) suspect(now, member, member.own);
 }
 
-void Watch::answered(Millis now, std::uint32_t ip, Output& out) {
+void FailureDetector::answered(Millis now, std::uint32_t ip, Output& out) {
     failures_ = 0;
     if (now - answered_at_ > settings_.silence) restart(now);
     answered_at_ = now;
@@ -74,12 +75,12 @@
     work_out_due();
 }
 
-void Watch::probe(Millis now, std::uint32_t ip, Output& out) {
+void FailureDetector::probe(Millis now, std::uint32_t ip, Output& out) {
     running_.push_back({ip, ++number_, now, false});
     out.probes.push_back({ip, number_});
 }
 
-void Watch::doubt(Millis now, std::uint32_t ip, Output& out) {
+void FailureDetector::doubt(Millis now, std::uint32_t ip, Output& out) {
     const Member* member = find(ip);
     if (!member || member->standing != Standing::alive || running_.size() >= settings_.at_once) return;
     if (std::any_of(running_.begin(), running_.end(),
@@ -89,7 +90,7 @@
     work_out_due();
 }
 
-void Watch::ask_others(const Running& running, Output& out) {
+void FailureDetector::ask_others(const Running& running, Output& out) {
     out.probes.push_back({running.ip, running.number});
     std::size_t wanted = settings_.helpers;
     const std::size_t start = random_.below(members_.size());
@@ -109,7 +110,7 @@
     }
 }
 
-void Watch::next_probe(Millis now, Output& out) {
+void FailureDetector::next_probe(Millis now, Output& out) {
     for (std::size_t tried = 0; tried <= round_.size(); ++tried) {
         if (cursor_ >= round_.size()) {
             for (std::size_t i = round_.size(); i > 1; --i)
@@ -126,7 +127,7 @@
     }
 }
 
-void Watch::probe_gone(Output& out) {
+void FailureDetector::probe_gone(Output& out) {
     std::size_t which = random_.below(gone_);
     for (const Member& member : members_)
         if (member.standing == Standing::gone && which-- == 0) {
@@ -135,7 +136,7 @@
         }
 }
 
-void Watch::tick(Millis now, Output& out) {
+void FailureDetector::tick(Millis now, Output& out) {
     if (now < due_) return;
     if (now - due_ > settings_.late && due_ > 0) {
         running_.clear();
@@ -191,16 +192,18 @@
     work_out_due();
 }
 
-Millis Watch::pause() { return settings_.period * (suspects_ ? 0.5 : 1) * (0.95 + 0.1 * random_.unit()); }
+Millis FailureDetector::pause() {
+    return settings_.period * (suspects_ ? 0.5 : 1) * (0.95 + 0.1 * random_.unit());
+}
 
-void Watch::early(Millis now, Output& out) {
+void FailureDetector::early(Millis now, Output& out) {
     if (now >= next_ || now < next_ - settings_.early * settings_.period) return;
     next_probe(now, out);
     next_ += pause();
     work_out_due();
 }
 
-void Watch::work_out_due() {
+void FailureDetector::work_out_due() {
     due_ = next_;
     if (gone_) due_ = std::min(due_, next_gone_);
     for (const Running& running : running_)
@@ -210,4 +213,4 @@
             if (member.standing == Standing::suspect) due_ = std::min({due_, member.until, member.again});
 }
 
-}  // namespace cobaltshift::watch
+}  // namespace cobaltshift::failure_detector
--- a/src/watch/watch.hpp
+++ b/src/failure_detector/failure_detector.hpp
@@ -1,5 +1,5 @@
 // Who of the others lives (the watch: SWIM failure detection, Das et al. 2002, with Lifeguard's care for
-// one's own health, Dadgar et al. 2017). Entry type: Watch. Called by telegraph's Station. Free of I/O.
+// one's own health, Dadgar et al. 2017). Entry type: FailureDetector. Called by gossip's Gossip. Free of I/O.
 //
 // One member is probed a period (two, while anybody is suspect), in a shuffled round. Without an answer,
 // others are asked to probe it; without one from them it is suspect, and gone unless it answers or says
@@ -15,12 +15,12 @@
 #include <vector>
 
 #include "random.hpp"
-#include "yard/records.hpp"
+#include "registry/records.hpp"
 
-namespace cobaltshift::watch {
+namespace cobaltshift::failure_detector {
 
-using yard::Millis;
-using yard::Standing;
+using registry::Millis;
+using registry::Standing;
 
 struct Settings {
     Millis period = 500;       // between probes
@@ -38,7 +38,7 @@
     double early = 0.4;          // of a period, that a probe may go before its time
 };
 
-class Watch {
+class FailureDetector {
 public:
     struct Probe {
         std::uint32_t to, number;
@@ -52,7 +52,7 @@
         std::vector<std::uint32_t> suspected, gone, cleared;  // ips: found so just now
     };
 
-    Watch(const Settings& settings, std::uint64_t seed);
+    FailureDetector(const Settings& settings, std::uint64_t seed);
 
     // What others say or a record shows of a member. Suspect: of a suspicion heard of.
     void set(Millis now, std::uint32_t ip, Standing standing);
@@ -105,4 +105,4 @@
     Millis next_ = 0, next_gone_ = 0, due_ = 0, answered_at_ = -1e18;
 };
 
-}  // namespace cobaltshift::watch
+}  // namespace cobaltshift::failure_detector
--- a/src/telegraph/telegraph.cpp
+++ b/src/gossip/broadcast_tree.cpp
@@ -1,19 +1,19 @@
-#include "telegraph/telegraph.hpp"
+#include "gossip/broadcast_tree.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
 namespace {
 
 // Whether a is not older than b: by life, seq, and how bad.
 bool covers(const Key& a, const Key& b) {
-    return yard::newer(a, b) || (yard::same_age(a, b) && a.standing >= b.standing);
+    return registry::newer(a, b) || (registry::same_age(a, b) && a.standing >= b.standing);
 }
 
-std::uint64_t place_on(unsigned ring, const yard::NodeRecord& record) {
+std::uint64_t place_on(unsigned ring, const registry::NodeRecord& record) {
     const std::uint64_t hash = XXH3_64bits_withSeed(&record.ip, sizeof record.ip, ring);
     if (ring) return hash;
     return (XXH3_64bits(record.zone.data(), record.zone.size()) & 0xffffffff00000000) | (hash & 0xffffffff);
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-std::vector<std::uint32_t> neighbours_of(const yard::NodeRecord& self, const yard::Yard& yard) {
+std::vector<std::uint32_t> neighbours_of(const registry::NodeRecord& self,
+                                         const registry::Registry& registry) {
     constexpr unsigned kRings = 3;
     std::vector<std::uint32_t> found;
     for (unsigned ring = 0; ring < kRings; ++ring) {
@@ -29,8 +30,8 @@
         // Distances on the ring, which wraps round as the numbers do.
         std::uint64_t after = UINT64_MAX, before = UINT64_MAX;
         std::uint32_t next = 0, last = 0;
-        for (const yard::Entry& entry : yard.entries()) {
-            if (entry.standing == yard::Standing::gone || entry.record.ip == self.ip) continue;
+        for (const registry::Entry& entry : registry.entries()) {
+            if (entry.standing == registry::Standing::gone || entry.record.ip == self.ip) continue;
             const std::uint64_t place = place_on(ring, entry.record);
             if (place - own < after) after = place - own, next = entry.record.ip;
             if (own - place < before) before = own - place, last = entry.record.ip;
@@ -41,17 +42,17 @@
     return found;
 }
 
-Telegraph::Link* Telegraph::find(std::uint32_t ip) {
+BroadcastTree::Link* BroadcastTree::find(std::uint32_t ip) {
     const auto found =
         std::find_if(links_.begin(), links_.end(), [&](const Link& link) { return link.ip == ip; });
     return found == links_.end() ? nullptr : &*found;
 }
 
-void Telegraph::mark(std::uint32_t ip, bool eager) {
+void BroadcastTree::mark(std::uint32_t ip, bool eager) {
     if (Link* link = find(ip)) link->eager = eager;
 }
 
-void Telegraph::link(const std::vector<std::uint32_t>& neighbours) {
+void BroadcastTree::link(const std::vector<std::uint32_t>& neighbours) {
     std::erase_if(links_, [&](const Link& link) {
         return std::find(neighbours.begin(), neighbours.end(), link.ip) == neighbours.end();
     });
@@ -59,7 +60,7 @@
         if (!find(ip)) links_.push_back({ip, true, {}});
 }
 
-bool Telegraph::twice(Millis now, std::uint32_t from, const std::vector<Key>& keys) {
+bool BroadcastTree::twice(Millis now, std::uint32_t from, const std::vector<Key>& keys) {
     for (const Key& key : keys)
         for (Key& other : aside_)
             if (other == key) {  // the tree is only later: from its second copy on it counts
@@ -72,7 +73,7 @@
     return calm;
 }
 
-void Telegraph::pass(Millis now, const Key& key, std::uint32_t from, bool by_tree, Output& out) {
+void BroadcastTree::pass(Millis now, const Key& key, std::uint32_t from, bool by_tree, Output& out) {
     came(key);
     if (key.ip != last_ip_) other_at_ = last_at_;
     last_ip_ = key.ip;
@@ -97,23 +98,23 @@
     }
 }
 
-void Telegraph::announced(Millis now, std::uint32_t from, const Key& key) {
+void BroadcastTree::announced(Millis now, std::uint32_t from, const Key& key) {
     for (Missing& missing : missing_)
         if (missing.key.ip == key.ip) {
-            if (yard::newer(key, missing.key)) missing = {key, {}, now + kGraftAfter};
+            if (registry::newer(key, missing.key)) missing = {key, {}, now + kGraftAfter};
             missing.by.push_back(from);
             return;
         }
     if (missing_.size() < kMostMissing) missing_.push_back({key, {from}, now + kGraftAfter});
 }
 
-void Telegraph::came(const Key& key) {
+void BroadcastTree::came(const Key& key) {
     std::erase_if(missing_, [&](const Missing& missing) {
         return missing.key.ip == key.ip && covers(key, missing.key);
     });
 }
 
-void Telegraph::tick(Millis now, Output& out) {
+void BroadcastTree::tick(Millis now, Output& out) {
     if (now >= announce_at_) {
         announce_at_ = 1e18;
         for (Link& link : links_)
@@ -138,10 +139,10 @@
     std::erase_if(missing_, [](const Missing& missing) { return missing.at < 0; });
 }
 
-Millis Telegraph::due() const {
+Millis BroadcastTree::due() const {
     Millis due = announce_at_;
     for (const Missing& missing : missing_) due = std::min(due, missing.at);
     return due;
 }
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/telegraph/telegraph.hpp
+++ b/src/gossip/broadcast_tree.hpp
@@ -1,11 +1,11 @@
-// The way of news through the fleet (the telegraph: a dissemination tree, Plumtree, Leitao et al. 2007).
-// Entry type: Telegraph, of one node; called by Station, which owns the records. Free of I/O.
+// The way of news through the fleet (the gossip: a dissemination tree, Plumtree, Leitao et al. 2007).
+// Entry type: BroadcastTree, of one node; called by Gossip, which owns the records. Free of I/O.
 //
 // Its neighbours are those before and after it on three rings of all nodes: one by zone, two by hash, so that
 // all work out the same links from the same table without a message, the degree is six at most, and the union
-// is an expander (few hops). News goes eagerly over some links and is announced on the others. Who gets it
-// twice prunes the link; who has it announced and does not get it grafts the link back. All links are eager
-// at first, so the first news makes the tree.
+// is an expander (few hops). GossipTransport goes eagerly over some links and is announced on the others. Who
+// gets it twice prunes the link; who has it announced and does not get it grafts the link back. All links are
+// eager at first, so the first news makes the tree.
 //
 // Invariant: what was announced and has not come is asked for until it came or all who announced it were
 // asked.
@@ -13,12 +13,12 @@
 
 #include <vector>
 
-#include "yard/yard.hpp"
+#include "registry/registry.hpp"
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
-using yard::Key;
-using yard::Millis;
+using registry::Key;
+using registry::Millis;
 
 constexpr Millis kAnnounceAfter = 25;  // announcements are gathered this long
 constexpr Millis kGraftAfter = 70;     // what was announced may come by itself this long
@@ -26,9 +26,10 @@
 constexpr std::size_t kMostMissing = 256, kMostAside = 64;
 
 // Those that a node of this zone and ip is linked to.
-std::vector<std::uint32_t> neighbours_of(const yard::NodeRecord& self, const yard::Yard& yard);
+std::vector<std::uint32_t> neighbours_of(const registry::NodeRecord& self,
+                                         const registry::Registry& registry);
 
-class Telegraph {
+class BroadcastTree {
 public:
     struct Keys {
         std::uint32_t to;
@@ -40,9 +41,9 @@
 
     // The links from now on; marks of those that stay are kept.
     void link(const std::vector<std::uint32_t>& neighbours);
-    // News that we have: to all but `from` (0: it is our own). Not by the tree: it came by another way
-    // (probes, copies
-    // compared) and is only announced, as the tree may be about to bring it, and must not be pruned for that.
+    // GossipTransport that we have: to all but `from` (0: it is our own). Not by the tree: it came by another
+    // way (probes, copies compared) and is only announced, as the tree may be about to bring it, and must not
+    // be pruned for that.
     void pass(Millis now, const Key& key, std::uint32_t from, bool by_tree, Output& out);
     // `from` sent what we had. True: it is to be told to prune (each time, as that may get lost). Only where
     // that is no more than a second way: not if the first copy came aside of the tree, nor while other news
@@ -52,7 +53,7 @@
     void grafted(std::uint32_t by) { mark(by, true); }
     // We don't have `key`, and `from` does.
     void announced(Millis now, std::uint32_t from, const Key& key);
-    // News of this node that is as new has come, by whichever way.
+    // GossipTransport of this node that is as new has come, by whichever way.
     void came(const Key& key);
 
     void tick(Millis now, Output& out);
@@ -83,4 +84,4 @@
     Millis announce_at_ = 1e18;
 };
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/telegraph/compare.cpp
+++ b/src/gossip/compare.cpp
@@ -1,19 +1,19 @@
-// Station's other half: how it finds its first others, and how two copies of the table are compared and
+// Gossip's other half: how it finds its first others, and how two copies of the table are compared and
 // mended.
 #include <algorithm>
 #include <bit>
 #include <utility>
 
-#include "telegraph/station.hpp"
+#include "gossip/gossip.hpp"
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
-using yard::Entry;
-using yard::kRanges;
-using yard::newer;
-using yard::same_age;
-using yard::Standing;
-using yard::Yard;
+using registry::Entry;
+using registry::kRanges;
+using registry::newer;
+using registry::Registry;
+using registry::same_age;
+using registry::Standing;
 
 namespace {
 constexpr Millis kSettled = 150;  // without a change for so long, a digest that differs is no news on its way
@@ -28,22 +28,22 @@
     return mask;
 }
 
-bool in(std::uint64_t mask, std::uint32_t ip) { return mask >> Yard::range_of(ip) & 1; }
+bool in(std::uint64_t mask, std::uint32_t ip) { return mask >> Registry::range_of(ip) & 1; }
 }  // namespace
 
-bool Station::knows_others() const {
-    return std::any_of(yard_.entries().begin(), yard_.entries().end(), [&](const Entry& entry) {
+bool Gossip::knows_others() const {
+    return std::any_of(registry_.entries().begin(), registry_.entries().end(), [&](const Entry& entry) {
         return entry.record.ip != own_ && entry.standing != Standing::gone;
     });
 }
 
-bool Station::seed_away(std::uint32_t ip) const {
-    const Entry* entry = yard_.find(ip);
+bool Gossip::seed_away(std::uint32_t ip) const {
+    const Entry* entry = registry_.find(ip);
     return ip != own_ && (!entry || entry->standing == Standing::gone);
 }
 
-std::uint32_t Station::any_living() {
-    const auto& entries = yard_.entries();
+std::uint32_t Gossip::any_living() {
+    const auto& entries = registry_.entries();
     const std::size_t start = random_.below(entries.size());
     for (std::size_t i = 0; i < entries.size(); ++i) {
         const Entry& entry = entries[(start + i) % entries.size()];
@@ -54,7 +54,7 @@
 
 // Who knows nobody calls all seeds, again and again; else one of those that are away, now and then, so that
 // the halves of a fleet find each other however long they were apart.
-void Station::knock(Millis now) {
+void Gossip::knock(Millis now) {
     const bool alone = !knows_others();
     if (!alone) knock_pause_ = settings_.knock_last;
     for (std::size_t tried = 0; tried < settings_.seeds.size(); ++tried) {
@@ -67,21 +67,21 @@
     knock_pause_ = std::min(knock_pause_ * 1.4, settings_.knock_last);
 }
 
-void Station::compare(Millis now, std::uint32_t with) {
+void Gossip::compare(Millis now, std::uint32_t with) {
     compared_ = now;
     ++counts_.syncs;
     Message ask = message(Kind::ranges);
     ask.number = ++question_;
-    ask.ranges = yard_.ranges();
-    ask.fresh = !joined_ && yard_.entries().size() <= kFew;
+    ask.ranges = registry_.ranges();
+    ask.fresh = !joined_ && registry_.entries().size() <= kFew;
     parts_ = 0;
     unknown_seen_ = false;
     send(with, std::move(ask));
 }
 
 // After an answer to a probe: the way that mends whatever the tree has lost.
-void Station::compare_if_due(Millis now, const Message& message) {
-    if (message.from.digest == yard_.digest()) {
+void Gossip::compare_if_due(Millis now, const Message& message) {
+    if (message.from.digest == registry_.digest()) {
         differed_ = false;
         return;
     }
@@ -90,14 +90,14 @@
     compare(now, message.from.ip);
 }
 
-void Station::answer_ranges(const Message& message) {
-    const std::uint64_t mask = mask_of(yard_.ranges(), message.ranges);
+void Gossip::answer_ranges(const Message& message) {
+    const std::uint64_t mask = mask_of(registry_.ranges(), message.ranges);
     // By range, so that each part holds whole ranges.
     std::vector<std::vector<Key>> keys(kRanges);
     std::vector<Key> all;
-    for (const Entry& entry : yard_.entries()) {
+    for (const Entry& entry : registry_.entries()) {
         if (!in(mask, entry.record.ip)) continue;
-        keys[Yard::range_of(entry.record.ip)].push_back(entry.key());
+        keys[Registry::range_of(entry.record.ip)].push_back(entry.key());
         if (entry.standing != Standing::gone && entry.record.ip != message.from.ip)
             all.push_back(entry.key());
     }
@@ -122,16 +122,16 @@
     }
 }
 
-void Station::take_summary(Millis now, const Message& message) {
+void Gossip::take_summary(Millis now, const Message& message) {
     std::vector<Key> want, give, doubt, doubted;
     std::vector<std::uint32_t> listed;
     for (const Key& key : message.keys) {
         listed.push_back(key.ip);
         if (contested(now, key)) {
-            if (newer(self(), key)) give.push_back(yard_.find(own_)->key());
+            if (newer(self(), key)) give.push_back(registry_.find(own_)->key());
             continue;
         }
-        const Entry* entry = yard_.find(key.ip);
+        const Entry* entry = registry_.find(key.ip);
         if (!entry || newer(key, entry->record)) {
             if (key.standing == Standing::gone) {
                 if (entry && entry->standing != Standing::gone) doubt.push_back(key);
@@ -148,7 +148,7 @@
         }
     }
     std::sort(listed.begin(), listed.end());
-    for (const Entry& entry : yard_.entries())
+    for (const Entry& entry : registry_.entries())
         if (in(message.mask, entry.record.ip) && entry.standing != Standing::gone &&
             entry.record.ip != message.from.ip &&
             !std::binary_search(listed.begin(), listed.end(), entry.record.ip))
@@ -156,11 +156,11 @@
     send_keys(message.from.ip, Kind::want, want);
     send_records(message.from.ip, give, settings_.most_answers);
     send_keys(message.from.ip, Kind::doubt, doubted);
-    watch::Watch::Output doubts;
+    failure_detector::FailureDetector::Output doubts;
     if (doubt.size() > kMostDoubts) doubt.resize(kMostDoubts);
     for (const Key& key : doubt) {
         send_keys(key.ip, Kind::doubt, {key});
-        watch_.doubt(now, key.ip, doubts);
+        detector_.doubt(now, key.ip, doubts);
     }
     carry_out(now, doubts);
 
@@ -174,4 +174,4 @@
     }
 }
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/telegraph/station.hpp
+++ b/src/gossip/gossip.hpp
@@ -1,6 +1,6 @@
 // One node's whole knowledge of the others (membership): table, failure detector, dissemination and
 // anti-entropy put together, as one state machine: messages, ticks and own changes in, datagrams and events
-// out. Entry type: Station. Called by news_io's News, and by tests in virtual time. Free of I/O.
+// out. Entry type: Gossip. Called by gossip_io's GossipTransport, and by tests in virtual time. Free of I/O.
 //
 // Invariants:
 // - Only the own node makes records of it; whoever holds a later record of it than its own makes it take a
@@ -13,18 +13,18 @@
 
 #include <optional>
 
-#include "telegraph/message.hpp"
-#include "telegraph/telegraph.hpp"
-#include "watch/watch.hpp"
+#include "failure_detector/failure_detector.hpp"
+#include "gossip/broadcast_tree.hpp"
+#include "gossip/message.hpp"
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
-using yard::NodeRecord;
+using registry::NodeRecord;
 
-struct StationSettings {
+struct GossipSettings {
     std::vector<std::uint32_t> seeds;  // ips
     std::uint64_t seed = 0;  // of all that is drawn; differs from node to node and from life to life
-    watch::Settings watch;
+    failure_detector::Settings watch;
     Millis knock_first = 250,
            knock_last = 4000;       // pauses between calls to seeds that are not among the living
     Millis sync_pause = 250;        // between comparings begun by us, at least
@@ -32,11 +32,11 @@
     std::size_t most_answers = 24;  // datagrams in answer to one question
 };
 
-struct StationCounts {
+struct GossipCounts {
     std::uint64_t syncs = 0, twice = 0, suspected = 0, gone = 0, refuted = 0, lives = 0, refused = 0;
 };
 
-class Station {
+class Gossip {
 public:
     struct Datagram {
         std::uint32_t to;
@@ -44,7 +44,7 @@
     };
     struct Edition {
         std::uint32_t ip;
-        std::uint64_t timetable;
+        std::uint64_t config_edition;
     };
     struct Output {
         std::vector<Datagram> datagrams;
@@ -53,8 +53,8 @@
         std::vector<Edition> editions;  // newer than ours, as told just now
     };
 
-    // `self`: its seq is 1 and its life is drawn here; both are kept by the Station from then on.
-    Station(const StationSettings& settings, NodeRecord self);
+    // `self`: its seq is 1 and its life is drawn here; both are kept by the Gossip from then on.
+    Gossip(const GossipSettings& settings, NodeRecord self);
 
     void start(Millis now);
     // Of `record` all is taken but ip, life, seq. Changes of call_seq or a warm-up's rest alone are nobody's
@@ -72,13 +72,13 @@
     void reachable(Millis now, std::uint32_t ip);
     void unreachable(Millis now, std::uint32_t ip);
 
-    const NodeRecord& self() const { return yard_.find(own_)->record; }
-    const yard::Yard& yard() const { return yard_; }
+    const NodeRecord& self() const { return registry_.find(own_)->record; }
+    const registry::Registry& registry() const { return registry_; }
     // A whole comparing with another node found none that it knows and we don't.
     bool joined() const { return joined_; }
-    const StationCounts& counts() const { return counts_; }
+    const GossipCounts& counts() const { return counts_; }
     // Those that this node is linked to, and whether eagerly.
-    const std::vector<Telegraph::Link>& links() const { return telegraph_.links(); }
+    const std::vector<BroadcastTree::Link>& links() const { return tree_.links(); }
 
 private:
     struct Relay {  // a probe for another
@@ -112,23 +112,23 @@
     bool take_record(Millis now, const NodeRecord& record, std::uint32_t from, Way way);
     bool take_standing(Millis now, const Key& key, std::uint32_t from);
     void pass(Millis now, std::uint32_t ip, std::uint32_t from, bool by_tree = true);
-    void carry_out(Millis now, watch::Watch::Output& out);
+    void carry_out(Millis now, failure_detector::FailureDetector::Output& out);
     void flush(Millis now);
     void knock(Millis now);
     bool knows_others() const;
     bool seed_away(std::uint32_t ip) const;
     std::uint32_t any_living();
 
-    const StationSettings settings_;
+    const GossipSettings settings_;
     const std::uint32_t own_;
     kelplb::Random random_;
-    yard::Yard yard_;
-    watch::Watch watch_;
-    Telegraph telegraph_;
-    Telegraph::Output news_;  // gathered in this turn
+    registry::Registry registry_;
+    failure_detector::FailureDetector detector_;
+    BroadcastTree tree_;
+    BroadcastTree::Output news_;  // gathered in this turn
     Output out_;
     std::vector<Relay> relays_;
-    StationCounts counts_;
+    GossipCounts counts_;
     Millis now_ = 0;  // of the turn
     bool relink_ = false, joined_ = false;
     Millis knock_at_ = 1e18, knock_pause_ = 0, join_at_ = 1e18, flushed_ = -1e18, compared_ = -1e18,
@@ -140,4 +140,4 @@
     bool unknown_seen_ = false, differed_ = false;
 };
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/telegraph/message.cpp
+++ b/src/gossip/message.cpp
@@ -1,4 +1,4 @@
-#include "telegraph/message.hpp"
+#include "gossip/message.hpp"
 
 #include <algorithm>
 #include <cereal/archives/binary.hpp>
@@ -8,11 +8,11 @@
 #include <ostream>
 #include <streambuf>
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
-using yard::Key;
-using yard::NodeRecord;
-using yard::ServerRecord;
+using registry::Key;
+using registry::NodeRecord;
+using registry::ServerRecord;
 
 namespace {
 
@@ -125,7 +125,7 @@
 
 template <class Archive>
 void parts(Archive& archive, NodeRecord& record) {
-    archive.plain(record.ip, record.life, record.seq, record.traffic_port, record.timetable);
+    archive.plain(record.ip, record.life, record.seq, record.traffic_port, record.config_edition);
     choice(archive, record.role, 2);
     archive.text(record.zone);
     bool has_server = record.server.has_value(), closing = record.server && record.server->closing;
@@ -144,7 +144,7 @@
     if (magic != kMagic || format != kFormat) throw cereal::Exception("not ours");
     choice(archive, message.kind, kKinds);
     auto& from = message.from;
-    archive.plain(from.ip, from.life, from.seq, from.timetable, from.digest);
+    archive.plain(from.ip, from.life, from.seq, from.config_edition, from.digest);
     const auto keys = [&] { archive.list(message.keys, [&](Key& key) { parts(archive, key); }); };
     const auto records = [&] {
         archive.list(message.records, [&](NodeRecord& record) { parts(archive, record); });
@@ -228,4 +228,4 @@
     }
 }
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/telegraph/message.hpp
+++ b/src/gossip/message.hpp
@@ -1,5 +1,5 @@
 // What nodes say to one another, a datagram each: typed, and in bytes (cereal). Entry: encode(), decode().
-// Called by news_io's News and by tests. Free of I/O.
+// Called by gossip_io's GossipTransport and by tests. Free of I/O.
 //
 // In bytes: magic, format, kind, the sender's Hello, then what the kind has. decode() takes any bytes:
 // lengths are checked before anything is allocated for them, and what is left over at the end makes it none
@@ -12,9 +12,9 @@
 #include <string_view>
 #include <vector>
 
-#include "yard/yard.hpp"
+#include "registry/registry.hpp"
 
-namespace cobaltshift::telegraph {
+namespace cobaltshift::gossip {
 
 constexpr std::size_t kMostBytes = 1200;  // of a datagram
 constexpr std::size_t kMostText = 120;    // of a name; a longer one is cut off
@@ -38,20 +38,20 @@
 // Of the sender, in each message: whoever is behind sees it.
 struct Hello {
     std::uint32_t ip = 0;
-    std::uint64_t life = 0, seq = 0, timetable = 0, digest = 0;
+    std::uint64_t life = 0, seq = 0, config_edition = 0, digest = 0;
 };
 
 struct Message {
     Kind kind = Kind::probe;
     Hello from;
     std::uint32_t number = 0;          // probe, ack, ask_probe; of the question in ranges and summary
-    yard::Key target;                  // probe, ack, ask_probe
+    registry::Key target;              // probe, ack, ask_probe
     std::uint64_t mask = 0;            // summary: ranges that this part holds wholly
     std::uint8_t part = 0, parts = 0;  // summary
     bool fresh = false;                // ranges: I know hardly anybody
-    std::array<std::uint32_t, yard::kRanges> ranges{};
-    std::vector<yard::Key> keys;
-    std::vector<yard::NodeRecord> records;
+    std::array<std::uint32_t, registry::kRanges> ranges{};
+    std::vector<registry::Key> keys;
+    std::vector<registry::NodeRecord> records;
 };
 
 std::string encode(const Message& message);
@@ -61,7 +61,7 @@
 // How many go into one message with certainty.
 constexpr std::size_t kMostKeys = 48;
 // The bytes that this record takes in a message at most; all records of one together kRoom at most.
-std::size_t bytes_of(const yard::NodeRecord& record);
+std::size_t bytes_of(const registry::NodeRecord& record);
 constexpr std::size_t kRoom = 1050;
 
-}  // namespace cobaltshift::telegraph
+}  // namespace cobaltshift::gossip
--- a/src/news_io/news.cpp
+++ b/src/gossip_io/gossip_transport.cpp
@@ -1,17 +1,17 @@
-#include "news_io/news.hpp"
+#include "gossip_io/gossip_transport.hpp"
 
 #include <sys/random.h>
 
 #include <algorithm>
 #include <utility>
 
+#include "gossip_io/status.hpp"
 #include "log/log.hpp"
-#include "news_io/status.hpp"
 
-namespace cobaltshift::news {
+namespace cobaltshift::gossip_io {
 
-using telegraph::Message;
-using telegraph::Station;
+using gossip::Gossip;
+using gossip::Message;
 
 namespace {
 
@@ -37,14 +37,14 @@
     return seeds;
 }
 
-telegraph::StationSettings settings_of(const std::vector<std::uint32_t>& seeds) {
-    telegraph::StationSettings settings;
+gossip::GossipSettings settings_of(const std::vector<std::uint32_t>& seeds) {
+    gossip::GossipSettings settings;
     settings.seeds = seeds;
     settings.seed = drawn();
     return settings;
 }
 
-NodeRecord record_of(const boot::Boot& boot, yard::NodeRole role, std::uint16_t traffic_port) {
+NodeRecord record_of(const boot::Boot& boot, registry::NodeRole role, std::uint16_t traffic_port) {
     NodeRecord record;
     record.ip = ip_of(boot.ip);
     record.role = role;
@@ -60,37 +60,38 @@
 
 std::string address_text(std::uint32_t ip) { return asio::ip::address_v4(ip).to_string(); }
 
-News::News(asio::io_context& io, const boot::Boot& boot, yard::NodeRole role, std::uint16_t traffic_port)
+GossipTransport::GossipTransport(asio::io_context& io, const boot::Boot& boot, registry::NodeRole role,
+                                 std::uint16_t traffic_port)
     : io_(io),
       port_(boot.first_port),
       seeds_(seeds_of(boot, ip_of(boot.ip))),
       socket_(io, udp::endpoint(asio::ip::address_v4(ip_of(boot.ip)), boot.first_port)),
       timer_(io),
-      station_(settings_of(seeds_), record_of(boot, role, traffic_port)) {
+      gossip_(settings_of(seeds_), record_of(boot, role, traffic_port)) {
     socket_.non_blocking(true);
 }
 
-News::~News() { *alive_ = false; }
+GossipTransport::~GossipTransport() { *alive_ = false; }
 
-double News::now() const {
+double GossipTransport::now() const {
     return std::chrono::duration<double, std::milli>(Clock::Steady::now() - origin_).count();
 }
 
-void News::start() {
+void GossipTransport::start() {
     if (running_) return;
     running_ = true;
-    station_.start(now());
+    gossip_.start(now());
     listen();
     act_soon();
 }
 
-void News::stop() {
+void GossipTransport::stop() {
     if (running_) {
         const double at = now();
-        if (untold_) station_.tell(at, *untold_);
+        if (untold_) gossip_.tell(at, *untold_);
         untold_.reset();
-        station_.leave(at);
-        send(station_.take());
+        gossip_.leave(at);
+        send(gossip_.take());
     }
     running_ = false;
     error_code ignored;
@@ -99,7 +100,7 @@
 }
 
 // async_receive_from reads twice a datagram (the second finds none), and needs no epoll_ctl as a wait would.
-void News::listen() {
+void GossipTransport::listen() {
     socket_.async_receive_from(asio::buffer(bytes_), from_,
                                [this, alive = alive_](error_code ec, std::size_t size) {
                                    if (!*alive || !running_ || ec == asio::error::operation_aborted) return;
@@ -110,17 +111,17 @@
                                });
 }
 
-void News::take(double at, std::size_t size) {
+void GossipTransport::take(double at, std::size_t size) {
     ++counts_.received;
     counts_.received_bytes += size;
-    const auto message = telegraph::decode({bytes_.data(), size});
+    const auto message = gossip::decode({bytes_.data(), size});
     if (message && from_.address().is_v4() && from_.address().to_v4().to_uint() == message->from.ip)
-        station_.heard(at, *message);
+        gossip_.heard(at, *message);
     else
         ++counts_.dropped;
 }
 
-void News::read_waiting(double at) {
+void GossipTransport::read_waiting(double at) {
     for (int i = 0; i < kMostReads; ++i) {
         error_code ec;
         const std::size_t size = socket_.receive_from(asio::buffer(bytes_), from_, 0, ec);
@@ -129,7 +130,7 @@
     }
 }
 
-void News::act_soon() {
+void GossipTransport::act_soon() {
     if (acting_soon_ || !running_) return;
     acting_soon_ = true;
     asio::post(io_, [this, alive = alive_] {
@@ -139,9 +140,9 @@
     });
 }
 
-void News::log(const Known& known) const {
+void GossipTransport::log(const Known& known) const {
     const std::string ip = address_text(known.record.ip);
-    if (known.record.ip == station_.self().ip)
+    if (known.record.ip == gossip_.self().ip)
         log_line("NW002 own life raised", "NW002 own life raised: others hold a later record of this node",
                  {{"life", known.record.life}});
     else if (known.standing == Standing::suspect)
@@ -150,9 +151,9 @@
         log_line("NW004 node gone", "NW004 node gone: " + ip, {{"ip", ip}});
 }
 
-void News::send(const Station::Output& out) {
+void GossipTransport::send(const Gossip::Output& out) {
     for (const auto& datagram : out.datagrams) {
-        const std::string bytes = telegraph::encode(datagram.message);
+        const std::string bytes = gossip::encode(datagram.message);
         error_code ec;
         socket_.send_to(asio::buffer(bytes), udp::endpoint(asio::ip::address_v4(datagram.to), port_), 0, ec);
         if (ec) {
@@ -164,19 +165,19 @@
     }
 }
 
-void News::act(double at) {
+void GossipTransport::act(double at) {
     if (untold_) {
-        station_.tell(at, *untold_);
+        gossip_.tell(at, *untold_);
         untold_.reset();
     }
-    if (at >= station_.due()) station_.tick(at);
-    const Station::Output out = station_.take();
+    if (at >= gossip_.due()) gossip_.tick(at);
+    const Gossip::Output out = gossip_.take();
     send(out);
     set_timer();
-    if (station_.joined() && !std::exchange(said_joined_, true))
+    if (gossip_.joined() && !std::exchange(said_joined_, true))
         log_line("NW001 joined",
-                 "NW001 joined: " + std::to_string(station_.yard().entries().size()) + " nodes known",
-                 {{"nodes", static_cast<std::uint64_t>(station_.yard().entries().size())}});
+                 "NW001 joined: " + std::to_string(gossip_.registry().entries().size()) + " nodes known",
+                 {{"nodes", static_cast<std::uint64_t>(gossip_.registry().entries().size())}});
     const auto alive = alive_;
     for (const std::uint32_t ip : out.changed) {
         const auto known = node(ip);
@@ -186,13 +187,14 @@
         if (!*alive || !running_) return;
     }
     for (const auto& edition : out.editions) {
-        if (on_timetable && edition.timetable > self().timetable) on_timetable(edition.ip, edition.timetable);
+        if (on_configuration && edition.config_edition > self().config_edition)
+            on_configuration(edition.ip, edition.config_edition);
         if (!*alive || !running_) return;
     }
 }
 
-void News::set_timer() {
-    const double due = station_.due();
+void GossipTransport::set_timer() {
+    const double due = gossip_.due();
     if (due == timer_at_) return;
     timer_at_ = due;
     if (due >= 1e17) {
@@ -210,63 +212,64 @@
     });
 }
 
-void News::tell(const std::function<void(NodeRecord&)>& change) {
+void GossipTransport::tell(const std::function<void(NodeRecord&)>& change) {
     if (!untold_) {
-        const yard::Entry* own = station_.yard().find(station_.self().ip);
-        untold_ = yard::Yard::handed_on(now(), *own);
+        const registry::Entry* own = gossip_.registry().find(gossip_.self().ip);
+        untold_ = registry::Registry::handed_on(now(), *own);
     }
     change(*untold_);
     act_soon();
 }
 
-const NodeRecord& News::self() const { return untold_ ? *untold_ : station_.self(); }
+const NodeRecord& GossipTransport::self() const { return untold_ ? *untold_ : gossip_.self(); }
 
-void News::each(const std::function<void(const NodeRecord&, Standing)>& visit) const {
+void GossipTransport::each(const std::function<void(const NodeRecord&, Standing)>& visit) const {
     const double at = now();
-    for (const yard::Entry& entry : station_.yard().entries())
-        if (entry.record.ip != station_.self().ip) visit(yard::Yard::handed_on(at, entry), entry.standing);
+    for (const registry::Entry& entry : gossip_.registry().entries())
+        if (entry.record.ip != gossip_.self().ip)
+            visit(registry::Registry::handed_on(at, entry), entry.standing);
 }
 
-std::optional<News::Known> News::node(std::uint32_t ip) const {
-    const yard::Entry* entry = station_.yard().find(ip);
+std::optional<GossipTransport::Known> GossipTransport::node(std::uint32_t ip) const {
+    const registry::Entry* entry = gossip_.registry().find(ip);
     if (!entry) return std::nullopt;
-    return Known{yard::Yard::handed_on(now(), *entry), entry->standing};
+    return Known{registry::Registry::handed_on(now(), *entry), entry->standing};
 }
 
-std::size_t News::live_guards() const {
-    const auto& entries = station_.yard().entries();
+std::size_t GossipTransport::live_proxies() const {
+    const auto& entries = gossip_.registry().entries();
     return static_cast<std::size_t>(
-        std::count_if(entries.begin(), entries.end(), [](const yard::Entry& entry) {
-            return entry.standing != Standing::gone && entry.record.role == yard::NodeRole::guard &&
+        std::count_if(entries.begin(), entries.end(), [](const registry::Entry& entry) {
+            return entry.standing != Standing::gone && entry.record.role == registry::NodeRole::proxy &&
                    !entry.record.leaving;
         }));
 }
 
-std::vector<std::uint32_t> News::hubs() const {
+std::vector<std::uint32_t> GossipTransport::hubs() const {
     std::vector<std::uint32_t> hubs;
-    for (const yard::Entry& entry : station_.yard().entries())
-        if (entry.record.role == yard::NodeRole::hub && entry.standing != Standing::gone &&
-            entry.record.ip != station_.self().ip)
+    for (const registry::Entry& entry : gossip_.registry().entries())
+        if (entry.record.role == registry::NodeRole::hub && entry.standing != Standing::gone &&
+            entry.record.ip != gossip_.self().ip)
             hubs.push_back(entry.record.ip);
     for (const std::uint32_t seed : seeds_)
-        if (!station_.yard().find(seed)) hubs.push_back(seed);
+        if (!gossip_.registry().find(seed)) hubs.push_back(seed);
     return hubs;
 }
 
-bool News::joined() const { return station_.joined(); }
+bool GossipTransport::joined() const { return gossip_.joined(); }
 
-void News::reachable(std::uint32_t ip) {
+void GossipTransport::reachable(std::uint32_t ip) {
     if (!running_) return;
-    station_.reachable(now(), ip);
+    gossip_.reachable(now(), ip);
     act_soon();
 }
 
-void News::unreachable(std::uint32_t ip) {
+void GossipTransport::unreachable(std::uint32_t ip) {
     if (!running_) return;
-    station_.unreachable(now(), ip);
+    gossip_.unreachable(now(), ip);
     act_soon();
 }
 
-std::string News::status() const { return status_text(station_, counts_); }
+std::string GossipTransport::status() const { return status_text(gossip_, counts_); }
 
-}  // namespace cobaltshift::news
+}  // namespace cobaltshift::gossip_io
--- a/src/news_io/news.hpp
+++ b/src/gossip_io/gossip_transport.hpp
@@ -1,6 +1,6 @@
-// Membership and news over one UDP socket (discovery, failure detection, dissemination): telegraph's Station
-// on a socket, a timer and the steady clock. Entry type: News. Called by the guard's and the signalbox's
-// programs, one of each process.
+// Membership and news over one UDP socket (discovery, failure detection, dissemination): gossip's Gossip
+// on a socket, a timer and the steady clock. Entry type: GossipTransport. Called by the proxy's and the
+// control node's programs, one of each process.
 //
 // Told of itself by tell(); all others come by each(), node() and on_change. Nothing here throws but the
 // constructor. For one thread: the io_context's.
@@ -14,13 +14,13 @@
 #include <vector>
 
 #include "boot/boot.hpp"
+#include "gossip/gossip.hpp"
 #include "net/clock.hpp"
-#include "telegraph/station.hpp"
 
-namespace cobaltshift::news {
+namespace cobaltshift::gossip_io {
 
-using yard::NodeRecord;
-using yard::Standing;
+using registry::NodeRecord;
+using registry::Standing;
 
 struct Counts {
     std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
@@ -28,13 +28,14 @@
     std::uint64_t unsent = 0;   // refused by the system
 };
 
-class News {
+class GossipTransport {
 public:
     // Throws boost::system::system_error if the socket (boot.ip : boot.first_port) can't be had,
     // boot::BootError if boot.ip is no IPv4 address. `role` and `traffic_port` are told of this node, with
     // boot.zone.
-    News(asio::io_context& io, const boot::Boot& boot, yard::NodeRole role, std::uint16_t traffic_port);
-    ~News();
+    GossipTransport(asio::io_context& io, const boot::Boot& boot, registry::NodeRole role,
+                    std::uint16_t traffic_port);
+    ~GossipTransport();
 
     void start();
     // Sends what was told last, and that it ends (others take that at once if it had said `leaving`). Then it
@@ -55,8 +56,8 @@
         Standing standing;
     };
     std::optional<Known> node(std::uint32_t ip) const;
-    // Not gone and not leaving, this one included if it is a guard.
-    std::size_t live_guards() const;
+    // Not gone and not leaving, this one included if it is a proxy.
+    std::size_t live_proxies() const;
     // Those not gone; then seeds of which nothing is known. Not this one.
     std::vector<std::uint32_t> hubs() const;
     // A whole comparing with another node found none that it knows and we don't. Never false again.
@@ -65,8 +66,8 @@
     // Never called from within a function of this class, but from the loop. A record's content or its
     // standing changed; of this node itself when it had to take a higher life.
     std::function<void(const NodeRecord&, Standing)> on_change;
-    // This node holds a higher timetable edition than self().timetable: each time it is heard.
-    std::function<void(std::uint32_t ip, std::uint64_t edition)> on_timetable;
+    // This node holds a higher configuration edition than self().config_edition: each time it is heard.
+    std::function<void(std::uint32_t ip, std::uint64_t edition)> on_configuration;
 
     // Hints from connections: an answer has just come from it; it did not answer.
     void reachable(std::uint32_t ip);
@@ -81,9 +82,9 @@
     void listen();
     void take(double at, std::size_t size);  // what is in bytes_, of from_
     void read_waiting(double at);
-    void send(const telegraph::Station::Output& out);
+    void send(const gossip::Gossip::Output& out);
     void log(const Known& known) const;
-    void act(double at);  // carries out what the station wants, now
+    void act(double at);  // carries out what the gossip wants, now
     void act_soon();      // in the next turn of the loop
     void set_timer();
     double now() const;
@@ -94,7 +95,7 @@
     const Clock::Steady::time_point origin_ = Clock::Steady::now();
     udp::socket socket_;
     asio::steady_timer timer_;
-    telegraph::Station station_;
+    gossip::Gossip gossip_;
     std::optional<NodeRecord> untold_;  // the own record with changes that have not gone out
     udp::endpoint from_;
     std::array<char, 2048> bytes_{};
@@ -107,4 +108,4 @@
 // "10.1.0.41" of an ip in host order.
 std::string address_text(std::uint32_t ip);
 
-}  // namespace cobaltshift::news
+}  // namespace cobaltshift::gossip_io
--- a/src/news_io/status.cpp
+++ b/src/gossip_io/status.cpp
@@ -1,22 +1,22 @@
-#include "news_io/status.hpp"
+#include "gossip_io/status.hpp"
 
 #include <nlohmann/json.hpp>
 
-namespace cobaltshift::news {
+namespace cobaltshift::gossip_io {
 
-std::string status_text(const telegraph::Station& station, const Counts& counts) {
+std::string status_text(const gossip::Gossip& gossip, const Counts& counts) {
     using nlohmann::json;
     constexpr const char* kStandings[] = {"alive", "suspect", "gone"};
     json nodes = json::array();
-    for (const yard::Entry& entry : station.yard().entries()) {
+    for (const registry::Entry& entry : gossip.registry().entries()) {
         const NodeRecord& record = entry.record;
         json node{{"ip", address_text(record.ip)},
-                  {"role", record.role == yard::NodeRole::hub ? "hub" : "guard"},
+                  {"role", record.role == registry::NodeRole::hub ? "hub" : "proxy"},
                   {"zone", record.zone},
                   {"standing", kStandings[static_cast<std::size_t>(entry.standing)]},
                   {"life", record.life},
                   {"seq", record.seq},
-                  {"timetable", record.timetable},
+                  {"configuration", record.config_edition},
                   {"ready", record.ready},
                   {"leaving", record.leaving}};
         if (record.server)
@@ -26,12 +26,12 @@
         nodes.push_back(std::move(node));
     }
     json links = json::array();
-    for (const auto& link : station.links())
+    for (const auto& link : gossip.links())
         links.push_back({{"ip", address_text(link.ip)}, {"eager", link.eager}});
-    const auto& core = station.counts();
-    const json status{{"ip", address_text(station.self().ip)},
-                      {"joined", station.joined()},
-                      {"digest", station.yard().digest()},
+    const auto& core = gossip.counts();
+    const json status{{"ip", address_text(gossip.self().ip)},
+                      {"joined", gossip.joined()},
+                      {"digest", gossip.registry().digest()},
                       {"nodes", nodes},
                       {"links", links},
                       {"datagrams",
@@ -53,4 +53,4 @@
     return status.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
-}  // namespace cobaltshift::news
+}  // namespace cobaltshift::gossip_io
--- a/src/lease/office.cpp
+++ b/src/lease/office.cpp
@@ -21,12 +21,12 @@
 }
 }  // namespace
 
-Office::Office(const OfficeSettings& settings, agree::Stored stored, Millis now, std::uint64_t draw)
+Office::Office(const OfficeSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw)
     : settings_(settings), keeper_(settings.agree, std::move(stored), now, draw), now_(now) {}
 
-void Office::heard(Millis now, const agree::Message& message) {
+void Office::heard(Millis now, const raft::Message& message) {
     now_ = now;
-    keeper_.heard(now, message);
+    keeper_.on_message(now, message);
     if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) end_to_lead();
 }
 
@@ -90,7 +90,7 @@
     Answer answer;
     if (!leads_ || !keeper_.leads()) {
         answer.kind = Answer::Kind::elsewhere;
-        if (!leads_ && keeper_.role() != agree::Keeper::Role::leader)
+        if (!leads_ && keeper_.role() != raft::RaftNode::Role::leader)
             answer.place = keeper_.leader_number().value_or(Answer::kUnknown);
         ++counts_.elsewhere;
         return say(client, question, answer);
@@ -261,11 +261,11 @@
     set_until(task, mine, now + wait_for(held.length, settings_.drift));
 }
 
-void Office::apply(Millis now, const agree::Committed& one) {
+void Office::apply(Millis now, const raft::Committed& one) {
     applied_ = one.index;
-    if (one.entry.kind != agree::Entry::Kind::data) return;
+    if (one.entry.kind != raft::Entry::Kind::data) return;
     const auto op = decode_op(one.entry.data);
-    if (!op) throw agree::Broken("an operation in the log can't be read");
+    if (!op) throw raft::Broken("an operation in the log can't be read");
     const Book::Effect effect = book_.apply(*op);
     if (!leads_) return;
     const Book::Task* task = book_.find(op->task);
@@ -357,15 +357,15 @@
 Office::Output Office::take(Millis now) {
     now_ = now;
     Output output;
-    output.ready = keeper_.take();
+    output.ready = keeper_.take_ready();
     if (output.ready.restored) {
         if (output.ready.restored->index > 0 && !output.ready.restored->data.empty() &&
             !book_.load(output.ready.restored->data))
-            throw agree::Broken("a snapshot's book can't be read");
+            throw raft::Broken("a snapshot's book can't be read");
         if (output.ready.restored->index == 0) book_ = {};
         applied_ = output.ready.restored->index;
     }
-    for (const agree::Committed& one : output.ready.committed) apply(now, one);
+    for (const raft::Committed& one : output.ready.committed) apply(now, one);
     // After what was committed by others is applied, and not before an own entry is.
     if (!leads_ && keeper_.leads() && applied_ == keeper_.commit()) begin_to_lead(now);
     for (const std::uint64_t question : output.ready.confirmed) confirmed(now, question);
--- a/src/lease/office.hpp
+++ b/src/lease/office.hpp
@@ -18,8 +18,8 @@
 #include <map>
 #include <set>
 
-#include "agree/keeper.hpp"
 #include "lease/book.hpp"
+#include "raft/raft_node.hpp"
 
 namespace cobaltshift::check {
 struct Describe;  // of the explicit-state checker (sim/check): reads all that a core knows
@@ -28,7 +28,7 @@
 namespace cobaltshift::lease {
 
 struct OfficeSettings {
-    agree::Settings agree;
+    raft::Settings agree;
     double drift = 0.025;          // of any steady clock against true time, as a part; 0 to 0.2
     Millis waiter_silence = 8000;  // who waits and asks no more leaves the queue; half, when its turn comes
     std::size_t compact_after = 4096;  // entries
@@ -44,26 +44,26 @@
     };
     // In this order: keep and sync what `ready` has to be kept, stored(), send, answer.
     struct Output {
-        agree::Ready ready;
+        raft::Ready ready;
         std::vector<Reply> replies;
     };
 
-    // `settings.agree.keepers` and `drift` within their ranges; see agree::Keeper for the rest.
-    Office(const OfficeSettings& settings, agree::Stored stored, Millis now, std::uint64_t draw);
+    // `settings.agree.keepers` and `drift` within their ranges; see raft::RaftNode for the rest.
+    Office(const OfficeSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw);
 
-    void heard(Millis now, const agree::Message& message);
+    void heard(Millis now, const raft::Message& message);
     void asked(Millis now, Client client, const Question& question);
     void tick(Millis now);
     Millis due() const;
-    bool ready() const { return keeper_.ready() || !replies_.empty(); }
+    bool ready() const { return keeper_.has_ready() || !replies_.empty(); }
     // Applies what is committed; nothing else may come between take() and stored().
     Output take(Millis now);
-    void stored() { keeper_.stored(); }
+    void stored() { keeper_.persisted(); }
 
-    const agree::Keeper& keeper() const { return keeper_; }
-    agree::Keeper& keeper() { return keeper_; }
+    const raft::RaftNode& keeper() const { return keeper_; }
+    raft::RaftNode& keeper() { return keeper_; }
     const Book& book() const { return book_; }
-    agree::Index applied() const { return applied_; }
+    raft::Index applied() const { return applied_; }
 
     // How long after a right was last given it may still be acted upon, by a clock that is as fast as
     // allowed.
@@ -103,7 +103,7 @@
     bool propose(Op op);
     void withdraw_silent(Millis now, const std::string& task, Millis silence);
     void confirmed(Millis now, std::uint64_t question);
-    void apply(Millis now, const agree::Committed& one);
+    void apply(Millis now, const raft::Committed& one);
     void begin_to_lead(Millis now);
     void end_to_lead();
     void give(Millis now, const std::string& task, const Book::Task& held);
@@ -112,11 +112,11 @@
     std::string listed(const std::string& prefix, Millis now) const;
 
     OfficeSettings settings_;
-    agree::Keeper keeper_;
+    raft::RaftNode keeper_;
     Book book_;
-    agree::Index applied_ = 0;
+    raft::Index applied_ = 0;
     bool leads_ = false;
-    agree::Term led_term_ = 0;
+    raft::Term led_term_ = 0;
     Millis now_ = 0;
     std::map<std::string, Held> held_;
     std::set<std::pair<Millis, std::string>> lapses_;
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -6,11 +6,11 @@
 #include <cstdint>
 #include <string>
 
-#include "agree/types.hpp"
+#include "raft/types.hpp"
 
 namespace cobaltshift::lease {
 
-using agree::Millis;
+using raft::Millis;
 using HolderId = std::uint64_t;  // of one run of a holder's process, drawn; 0: nobody
 // Of one right. Over all tasks they only grow, whatever crashes, as long as a majority keeps its folders.
 using Fence = std::uint64_t;
--- a/src/lease_io/channel.cpp
+++ b/src/lease_io/channel.cpp
@@ -2,8 +2,8 @@
 
 #include <sodium.h>
 
-#include "agree/types.hpp"
 #include "lease/types.hpp"
+#include "raft/types.hpp"
 
 namespace cobaltshift::lease {
 
@@ -169,7 +169,7 @@
         if (!proven_) {
             if (kind != FrameKind::proof) return fail("sends no proof"), false;
             proven_ = up_ = true;
-            largest_ = role_ == Role::keeper ? agree::kMaxMessageBytes : kMaxQuestionBytes + 256;
+            largest_ = role_ == Role::keeper ? raft::kMaxMessageBytes : kMaxQuestionBytes + 256;
             if (handlers->up) handlers->up();
             continue;
         }
--- a/src/lease_io/channel.hpp
+++ b/src/lease_io/channel.hpp
@@ -33,7 +33,7 @@
     proof = 1,  // empty
     ping,       // empty, or what is to be sent back
     pong,
-    message,   // agree::encode(Message); between keepers only
+    message,   // raft::encode(Message); between keepers only
     question,  // lease::encode(Question)
     answer,    // lease::encode(Answer)
     order,     // an operator's, JSON; answered by `report`
--- a/src/lease_io/clock.hpp
+++ b/src/lease_io/clock.hpp
@@ -5,11 +5,11 @@
 
 #include <time.h>
 
-#include "agree/types.hpp"
+#include "raft/types.hpp"
 
 namespace cobaltshift::lease {
 
-inline agree::Millis own_clock() {
+inline raft::Millis own_clock() {
     timespec now{};
     ::clock_gettime(CLOCK_BOOTTIME, &now);
     return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
--- a/src/lease_io/keeper_node.cpp
+++ b/src/lease_io/keeper_node.cpp
@@ -4,24 +4,24 @@
 
 #include <nlohmann/json.hpp>
 
-#include "agree/codec.hpp"
 #include "lease/codec.hpp"
 #include "lease_io/clock.hpp"
 #include "lease_io/draw.hpp"
 #include "log/log.hpp"
+#include "raft/codec.hpp"
 
 namespace cobaltshift::lease {
 
 namespace {
 
-constexpr std::size_t kPeerQueue = 2 * agree::kMaxMessageBytes, kClientQueue = 1024 * 1024;
+constexpr std::size_t kPeerQueue = 2 * raft::kMaxMessageBytes, kClientQueue = 1024 * 1024;
 constexpr std::chrono::milliseconds kFullDiskPause{1000};
 
-const char* name_of(agree::Keeper::Role role) {
+const char* name_of(raft::RaftNode::Role role) {
     switch (role) {
-        case agree::Keeper::Role::leader:
+        case raft::RaftNode::Role::leader:
             return "leader";
-        case agree::Keeper::Role::follower:
+        case raft::RaftNode::Role::follower:
             return "follower";
         default:
             return "candidate";
@@ -36,8 +36,8 @@
     store::Folder folder(own.folder);
     if (folder.found() != store::Folder::Found::nothing)
         throw KeeperError("folder " + own.folder + " holds a keeper already: nothing is founded in it");
-    folder.begin(agree::founded(fleet_number(own.fleet), own.office.agree.number,
-                                static_cast<std::uint32_t>(keepers)));
+    folder.begin(raft::bootstrap(fleet_number(own.fleet), own.office.agree.number,
+                                 static_cast<std::uint32_t>(keepers)));
 }
 
 KeeperNode::KeeperNode(asio::io_context& io, KeeperSettings own, KeepersSettings all)
@@ -71,7 +71,7 @@
 bool KeeperNode::votes() const {
     if (!office_) return false;
     const auto& members = office_->keeper().members();
-    return std::any_of(members.begin(), members.end(), [&](const agree::Member& member) {
+    return std::any_of(members.begin(), members.end(), [&](const raft::Member& member) {
         return member.id == office_->keeper().id() && member.voter;
     });
 }
@@ -104,19 +104,19 @@
     log_line("keeper.new_life",
              "keeper " + std::to_string(own_.office.agree.number) + " begins a new life: " + why,
              {{"keeper", std::uint64_t{own_.office.agree.number}}, {"why", why}});
-    folder_->begin(agree::newcomer(office_settings_.agree.fleet, agree::kFirstDrawn + (drawn() >> 4)));
+    folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
 }
 
 void KeeperNode::boot() {
     office_.reset();
     folder_.reset();  // before it is opened anew
     folder_ = std::make_unique<store::Folder>(own_.folder);
-    agree::Stored stored;
+    raft::Stored stored;
     if (folder_->found() == store::Folder::Found::whole) {
         stored = folder_->take_stored();
         if (stored.fleet != office_settings_.agree.fleet)
             throw KeeperError("folder " + own_.folder + " is of another fleet than '" + own_.fleet + "'");
-        if (stored.id < agree::kFirstDrawn && stored.id != own_.office.agree.number + 1)
+        if (stored.id < raft::kFirstDrawn && stored.id != own_.office.agree.number + 1)
             throw KeeperError("folder " + own_.folder + " is keeper " + std::to_string(stored.id - 1) +
                               "'s, not " + std::to_string(own_.office.agree.number) + "'s");
     } else {
@@ -162,7 +162,7 @@
     const bool keeper = at->second.channel->role() == Role::keeper;
     std::string why;
     if (kind == FrameKind::message && keeper) {
-        auto message = agree::decode_message(payload, why);
+        auto message = raft::decode_message(payload, why);
         if (!message) {
             ++counts_.refused_messages;
             return;
@@ -184,7 +184,7 @@
 
 std::string KeeperNode::status() const {
     using nlohmann::json;
-    const agree::Keeper& keeper = office_->keeper();
+    const raft::RaftNode& keeper = office_->keeper();
     json said{{"number", own_.office.agree.number},
               {"role", name_of(keeper.role())},
               {"leads", keeper.leads()},
@@ -210,7 +210,7 @@
     said["leader"] = keeper.leader_number() ? json(*keeper.leader_number()) : json();
     said["members"] = json::array();
     const Millis now = own_clock();
-    for (const agree::Member& member : keeper.members()) {
+    for (const raft::Member& member : keeper.members()) {
         json one{{"number", member.number}, {"voter", member.voter}, {"id", std::to_string(member.id)}};
         const auto peer = keeper.peers().find(member.id);
         if (keeper.leads() && peer != keeper.peers().end()) {
@@ -229,7 +229,7 @@
               static_cast<double>(counts_.refused_messages));
     m.gauge("cobaltshift_keeper_connections", "open", static_cast<double>(sessions_.size()));
     if (!office_ || !folder_) return;
-    const agree::Keeper& keeper = office_->keeper();
+    const raft::RaftNode& keeper = office_->keeper();
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     m.gauge("cobaltshift_keeper_leads", "1 at the keeper that leads", keeper.leads());
     m.gauge("cobaltshift_keeper_votes", "1 at a member with a vote", votes());
@@ -251,7 +251,7 @@
     if (!keeper.leads()) return;
     m.family("cobaltshift_keeper_behind", MetricsText::Kind::gauge,
              "entries that a member has not stored yet");
-    for (const agree::Member& member : keeper.members())
+    for (const raft::Member& member : keeper.members())
         if (const auto peer = keeper.peers().find(member.id); peer != keeper.peers().end())
             m.sample(count(keeper.last()) - count(peer->second.match),
                      {{"keeper", std::to_string(member.number)}});
@@ -308,7 +308,7 @@
 void KeeperNode::guarded(const std::function<void()>& what) {
     try {
         what();
-    } catch (const std::exception& fault) {  // agree::Broken, or a disk that refuses
+    } catch (const std::exception& fault) {  // raft::Broken, or a disk that refuses
         end(std::string("keeper stops: ") + fault.what());
     }
 }
@@ -341,8 +341,7 @@
             counts_.longest_sync = std::max(counts_.longest_sync, own_clock() - before);
         }
         if (output.ready.retired) {
-            folder_->begin(
-                agree::newcomer(office_settings_.agree.fleet, agree::kFirstDrawn + (drawn() >> 4)));
+            folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
             ++counts_.lives;
             log_line("keeper.new_life", "keeper " + std::to_string(own_.office.agree.number) +
                                             " is no member any more; it asks to be taken in anew");
@@ -350,10 +349,10 @@
             continue;
         }
         office_->stored();
-        for (const agree::Message& message : output.ready.messages) {
-            const std::string bytes = agree::encode(message);
+        for (const raft::Message& message : output.ready.messages) {
+            const std::string bytes = raft::encode(message);
             for (auto& [number, line] : peers_)
-                if (message.kind == agree::Message::Kind::join || number == message.to_number)
+                if (message.kind == raft::Message::Kind::join || number == message.to_number)
                     line->send(FrameKind::message, bytes);
         }
         for (const Office::Reply& reply : output.replies) {
--- a/src/net/dialect.hpp
+++ b/src/net/dialect.hpp
@@ -1,6 +1,6 @@
 // One protocol's words for what a Sidecar does: how a request is classed, how an answer reads, how a refusal
 // is said. Nothing is picked here; what a protocol forbids (a further try over its budget) it may veto. Entry
-// type: Dialect. Called by Sidecar; implemented by PlatformDialect and by the mesh's (src/guard).
+// type: Dialect. Called by Sidecar; implemented by PlatformDialect and by the mesh's (src/proxy).
 #pragma once
 
 #include <any>
--- a/src/net/front.hpp
+++ b/src/net/front.hpp
@@ -1,6 +1,6 @@
 // Who takes what a Listener has read, and what a request must look like: one protocol's side of clients'
 // connections. Entry type: Front. Implemented by SidecarFront (the platform's protocol) and by the mesh's
-// fronts (src/guard, src/signalbox_io).
+// fronts (src/proxy, src/control_io).
 #pragma once
 
 #include <memory>
--- a/src/verdict/verdict.hpp
+++ b/src/outcome/outcome.hpp
@@ -1,7 +1,7 @@
 // Whether a request may have run: the one question that every hop must answer before it says anything about a
 // failed request. Boost.LEAF carries a Failure; refusals (429, 503 and the like promise that the request has
-// not run) can only be made from a NotRun, and a NotRun only from a verdict that says so. Used by crossing
-// and guard.
+// not run) can only be made from a NotRun, and a NotRun only from a verdict that says so. Used by admission
+// and proxy.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 
 namespace cobaltshift {
 
-enum class Verdict : std::uint8_t { not_run, may_have_run, ran };
+enum class Execution : std::uint8_t { not_run, may_have_run, ran };
 
-// Why it failed or was turned away; the words are what one guard tells another in `Mesh-Verdict`.
+// Why it failed or was turned away; the words are what one proxy tells another in `Mesh-Verdict`.
 enum class Reason : std::uint8_t {
-    full,         // crossing: no slot, and the queue is full or too long for the time left
+    full,         // admission: no slot, and the queue is full or too long for the time left
     closing,      // the server said that it leaves, or is gone
     wrong_life,   // another life of the server is there, or none is known yet
     repeated,     // this id has been taken before
-    leaving,      // the guard beside the server ends
+    leaving,      // the proxy beside the server ends
     late,         // the deadline is reached
     turned_away,  // by the server itself, with Not-Run or 421
     unreachable,  // no connection
@@ -26,11 +26,11 @@
     silent,       // no answer in time
     no_server,    // none is known for the service
     no_budget,    // a further try is not affordable
-    unsettled,    // this guard does not hold a configuration yet
+    unsettled,    // this proxy does not hold a configuration yet
 };
 
 struct Failure {
-    Verdict verdict = Verdict::may_have_run;
+    Execution execution = Execution::may_have_run;
     Reason reason = Reason::broken;
 };
 
@@ -38,7 +38,7 @@
 class NotRun {
 public:
     static std::optional<NotRun> from(const Failure& failure) {
-        if (failure.verdict != Verdict::not_run) return {};
+        if (failure.execution != Execution::not_run) return {};
         return NotRun(failure.reason);
     }
     Reason reason() const { return reason_; }
--- a/src/programs/signalbox.cpp
+++ b/src/programs/control.cpp
@@ -1,6 +1,4 @@
-// cobaltshift-signalbox: the control machine. Command line, signals and the parts put together; no logic.
-#include "signalbox_io/signalbox.hpp"
-
+// cobaltshift-control: the control machine. Command line, signals and the parts put together; no logic.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -9,11 +7,12 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "desk/api_front.hpp"
+#include "api/api_front.hpp"
+#include "config_io/config_distributor.hpp"
+#include "control_io/control_node.hpp"
+#include "gossip_io/gossip_transport.hpp"
 #include "log/log.hpp"
 #include "net/listener.hpp"
-#include "news_io/news.hpp"
-#include "timetable_io/feed.hpp"
 
 ABSL_FLAG(std::string, boot, "", "settings file; without it, the one that COBALTSHIFT_BOOT names");
 ABSL_FLAG(bool, check, false, "read the settings, say what is wrong with them, and end");
@@ -30,47 +29,47 @@
     Hub(asio::io_context& io, boot::Boot boot)
         : io_(io),
           boot_(std::move(boot)),
-          news_(io, boot_, yard::NodeRole::hub, 0),
-          feed_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
-          box_(io, boot_, feed_),
+          gossip_(io, boot_, registry::NodeRole::hub, 0),
+          distributor_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
+          control_node_(io, boot_, distributor_),
           front_(kMostConfiguration),
           listener_(io, clock_, front_, {kConnections, kConnections, 16 << 20}),
           timer_(io) {
-        front_.add(box_.config());
-        feed_.on_new = [this](std::shared_ptr<const timetable::Timetable> t) { told(t->edition); };
-        news_.on_timetable = [this](std::uint32_t, std::uint64_t) {
+        front_.add(control_node_.config());
+        distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) { told(t->edition); };
+        gossip_.on_configuration = [this](std::uint32_t, std::uint64_t) {
         };  // a hub has it from the others' agreement
-        box_.on_over = [this](const std::string& why) {
+        control_node_.on_over = [this](const std::string& why) {
             log_line("SB029 over", why);
             over_ = true;
             io_.stop();
         };
-        box_.on_edition = [this](std::uint64_t edition) { told(edition); };
+        control_node_.on_edition = [this](std::uint64_t edition) { told(edition); };
         if (boot_.control) listener_.listen(*boot_.control);
-        news_.start();
+        gossip_.start();
         look();
-        log_line("SB001 started", "signalbox " + boot_.node_name + " started");
+        log_line("SB001 started", "control " + boot_.node_name + " started");
     }
     bool over() const { return over_; }  // it can't go on
     void stop(std::function<void()> done) {
         if (stopping_) return;
         stopping_ = true;
-        news_.tell([](yard::NodeRecord& own) { own.leaving = true; });
-        box_.stop();
-        news_.stop();
+        gossip_.tell([](registry::NodeRecord& own) { own.leaving = true; });
+        control_node_.stop();
+        gossip_.stop();
         listener_.stop_accepting();
-        timer_.expires_after(signalbox::kStopWithin + std::chrono::milliseconds(50));
+        timer_.expires_after(control::kStopWithin + std::chrono::milliseconds(50));
         timer_.async_wait([done](error_code) { done(); });
     }
 
 private:
     void told(std::uint64_t edition) {
-        news_.tell([&](yard::NodeRecord& own) { own.timetable = edition, own.ready = true; });
+        gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = edition, own.ready = true; });
     }
     void look() {
         if (stopping_) return;
-        box_.hubs(news_.hubs());
-        if (box_.edition() != news_.self().timetable) told(box_.edition());
+        control_node_.hubs(gossip_.hubs());
+        if (control_node_.edition() != gossip_.self().config_edition) told(control_node_.edition());
         timer_.expires_after(kLookAtHubs);
         timer_.async_wait([this](error_code ec) {
             if (!ec) look();
@@ -80,10 +79,10 @@
     asio::io_context& io_;
     boot::Boot boot_;
     Clock clock_;
-    news::News news_;
-    timetable::Feed feed_;
-    signalbox::Signalbox box_;
-    desk::ApiFront front_;
+    gossip_io::GossipTransport gossip_;
+    config::ConfigDistributor distributor_;
+    control::ControlNode control_node_;
+    api::ApiFront front_;
     Listener listener_;
     asio::steady_timer timer_;
     bool stopping_ = false, over_ = false;
@@ -93,21 +92,21 @@
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
         "a control machine: holds the configuration with the others and delivers it.\n"
-        "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-signalbox\n"
-        "  cobaltshift-signalbox --boot=local.conf --check");
+        "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-control\n"
+        "  cobaltshift-control --boot=local.conf --check");
     absl::ParseCommandLine(argc, argv);
     std::string file = absl::GetFlag(FLAGS_boot);
     if (file.empty())
         if (const char* named = std::getenv("COBALTSHIFT_BOOT")) file = named;
     if (file.empty()) {
-        std::fprintf(stderr, "cobaltshift-signalbox: no settings file: --boot or COBALTSHIFT_BOOT\n");
+        std::fprintf(stderr, "cobaltshift-control: no settings file: --boot or COBALTSHIFT_BOOT\n");
         return 2;
     }
     try {
         boot::Boot settings = boot::read_boot(file);
         if (settings.data_dir.empty())
             throw boot::BootError(file +
-                                  ": data_dir: is missing: a signalbox keeps the configuration on disk");
+                                  ": data_dir: is missing: a control node keeps the configuration on disk");
         if (absl::GetFlag(FLAGS_check)) return 0;
         log_as(LogFormat::numbered);
         std::signal(SIGPIPE, SIG_IGN);
@@ -127,10 +126,10 @@
         io.run();
         return hub.over() ? 1 : 0;
     } catch (const boot::BootError& error) {
-        std::fprintf(stderr, "cobaltshift-signalbox: %s\n", error.what());
+        std::fprintf(stderr, "cobaltshift-control: %s\n", error.what());
         return 2;
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "cobaltshift-signalbox: %s\n", error.what());
+        std::fprintf(stderr, "cobaltshift-control: %s\n", error.what());
         return 1;
     }
 }
--- a/src/programs/guard.cpp
+++ b/src/programs/proxy.cpp
@@ -1,5 +1,7 @@
-// cobaltshift-guard: the sidecar on every machine with an application server. Command line and signals; no
+// cobaltshift-proxy: the sidecar on every machine with an application server. Command line and signals; no
 // logic.
+#include "proxy/proxy.hpp"
+
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -9,7 +11,6 @@
 #include <cstdlib>
 #include <random>
 
-#include "guard/guard_node.hpp"
 #include "log/log.hpp"
 
 ABSL_FLAG(std::string, boot, "", "settings file; without it, the one that COBALTSHIFT_BOOT names");
@@ -18,7 +19,7 @@
 namespace {
 using namespace cobaltshift;
 
-void on_signals(asio::signal_set& signals, guard::GuardNode& node, asio::io_context& io,
+void on_signals(asio::signal_set& signals, proxy::Proxy& node, asio::io_context& io,
                 const std::string& file) {
     signals.async_wait([&signals, &node, &io, &file](error_code ec, int signal) {
         if (ec) return;
@@ -39,14 +40,14 @@
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
         "the sidecar beside an application server.\n"
-        "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-guard\n"
-        "  cobaltshift-guard --boot=local.conf --check");
+        "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-proxy\n"
+        "  cobaltshift-proxy --boot=local.conf --check");
     absl::ParseCommandLine(argc, argv);
     std::string file = absl::GetFlag(FLAGS_boot);
     if (file.empty())
         if (const char* named = std::getenv("COBALTSHIFT_BOOT")) file = named;
     if (file.empty()) {
-        std::fprintf(stderr, "cobaltshift-guard: no settings file: --boot or COBALTSHIFT_BOOT\n");
+        std::fprintf(stderr, "cobaltshift-proxy: no settings file: --boot or COBALTSHIFT_BOOT\n");
         return 2;
     }
     try {
@@ -57,16 +58,16 @@
         asio::io_context io(1);
         std::random_device device;
         const std::uint64_t seed = (std::uint64_t{device()} << 32) | device();
-        guard::GuardNode node(io, std::move(settings), seed);
+        proxy::Proxy node(io, std::move(settings), seed);
         asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
         on_signals(signals, node, io, file);
         io.run();
         return 0;
     } catch (const boot::BootError& error) {
-        std::fprintf(stderr, "cobaltshift-guard: %s\n", error.what());
+        std::fprintf(stderr, "cobaltshift-proxy: %s\n", error.what());
         return 2;
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "cobaltshift-guard: %s\n", error.what());
+        std::fprintf(stderr, "cobaltshift-proxy: %s\n", error.what());
         return 1;
     }
 }
--- a/src/guard/beats.cpp
+++ b/src/proxy/beats.cpp
@@ -1,10 +1,10 @@
-#include "guard/beats.hpp"
+#include "proxy/beats.hpp"
 
 #include <json/json.h>
 
 #include <memory>
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 namespace {
 constexpr std::string_view kServers = "/api/servers/";
@@ -95,4 +95,4 @@
     return true;
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/beats.hpp
+++ b/src/proxy/beats.hpp
@@ -1,15 +1,15 @@
 // The resource that servers call: PUT and DELETE /api/servers/ID at the `control` address of their machine.
-// Entry type: Beats. A beat is acknowledged once the crossing has it: from then on it holds, whatever the
+// Entry type: Beats. A beat is acknowledged once the admission has it: from then on it holds, whatever the
 // news does.
 #pragma once
 
 #include <functional>
 #include <optional>
 
-#include "desk/api.hpp"
-#include "yard/records.hpp"
+#include "api/api.hpp"
+#include "registry/records.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 struct Beat {
     std::string life, service, address, zone, edition;
@@ -44,4 +44,4 @@
     std::function<bool()> ready_;
 };
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/hop.cpp
+++ b/src/proxy/hop.cpp
@@ -1,4 +1,4 @@
-#include "guard/hop.hpp"
+#include "proxy/hop.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,9 +6,9 @@
 
 #include "net/dialect.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
-using timetable::RouteKind;
+using config::RouteKind;
 
 std::string to_text(const Hop& hop) {
     const char kind = hop.kind == RouteKind::plain ? 'p' : hop.kind == RouteKind::download ? 'd' : 'r';
@@ -46,20 +46,20 @@
 leaf::result<HttpResponse> server_answer(HttpResponse response) {
     const unsigned status = response.result_int();
     if (response.count(kNotRun) > 0 || status == 421)
-        return leaf::new_error(Failure{Verdict::not_run, Reason::turned_away});
+        return leaf::new_error(Failure{Execution::not_run, Reason::turned_away});
     if (status / 100 == 2 &&
         (response[kPostmark].empty() || response.count(http::field::content_encoding) > 0))
-        return leaf::new_error(Failure{Verdict::may_have_run, Reason::broken});
+        return leaf::new_error(Failure{Execution::may_have_run, Reason::broken});
     // Of these the server says by Not-Run that they hold; without it they would promise too much.
     if (status == 429 || status == 503 || status == 408)
-        return leaf::new_error(Failure{Verdict::may_have_run, Reason::broken});
+        return leaf::new_error(Failure{Execution::may_have_run, Reason::broken});
     response.set(kVerdict, "ran");
     response.erase(kEdition);
     return response;
 }
 
 HttpResponse own_answer(const Failure& failure) {
-    const bool not_run = failure.verdict == Verdict::not_run;
+    const bool not_run = failure.execution == Execution::not_run;
     HttpResponse response(not_run                            ? http::status::service_unavailable
                           : failure.reason == Reason::silent ? http::status::gateway_timeout
                                                              : http::status::bad_gateway,
@@ -73,9 +73,9 @@
     const auto field = response[kVerdict];
     if (field == "ran") return {};
     if (field.empty()) {
-        // By the other guard's listener, before it was read: it never began.
+        // By the other proxy's listener, before it was read: it never began.
         const unsigned status = response.result_int();
-        if (status == 503 || status == 408) return Failure{Verdict::not_run, Reason::full};
+        if (status == 503 || status == 408) return Failure{Execution::not_run, Reason::full};
         return {};
     }
     const std::string_view text(field.data(), field.size());
@@ -83,8 +83,8 @@
     const auto reason = reason_named(space == std::string_view::npos ? "" : text.substr(space + 1));
     // What is not understood may have run.
     if (text.substr(0, space) != "not-run" || !reason)
-        return Failure{Verdict::may_have_run, reason.value_or(Reason::broken)};
-    return Failure{Verdict::not_run, *reason};
+        return Failure{Execution::may_have_run, reason.value_or(Reason::broken)};
+    return Failure{Execution::not_run, *reason};
 }
 
 HttpResponse refusal(const NotRun&, double retry_in_ms) {
@@ -107,4 +107,4 @@
     return std::floor(value);
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/hop.hpp
+++ b/src/proxy/hop.hpp
@@ -1,12 +1,12 @@
-// What one guard says to another about a request, beside the request itself: two header fields of ours that
-// no client sees and no server gets. Used by MeshDialect (the caller's side) and Gate (the server's side).
+// What one proxy says to another about a request, beside the request itself: two header fields of ours that
+// no client sees and no server gets. Used by MeshDialect (the caller's side) and Inbound (the server's side).
 //
 //   of a request   Mesh-Hop: KIND;RANK;TARGET_MS;TRIES;WAIT;EDITION
-//                  KIND p, r or d (plain, registered, download); WAIT 1: may wait at the crossing
+//                  KIND p, r or d (plain, registered, download); WAIT 1: may wait at the admission
 //   of an answer   Mesh-Verdict: ran                      it is the server's
-//                  Mesh-Verdict: not-run REASON           the guard's own: it has not run and never will
-//                  Mesh-Verdict: may-have-run REASON      the guard's own
-//                  Mesh-Edition: EDITION                  the timetable that the answering guard holds
+//                  Mesh-Verdict: not-run REASON           the proxy's own: it has not run and never will
+//                  Mesh-Verdict: may-have-run REASON      the proxy's own
+//                  Mesh-Edition: EDITION                  the configuration that the answering proxy holds
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -14,11 +14,11 @@
 #include <optional>
 #include <string>
 
+#include "config/configuration.hpp"
 #include "net/http.hpp"
-#include "timetable/timetable.hpp"
-#include "verdict/verdict.hpp"
+#include "outcome/outcome.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 namespace leaf = boost::leaf;
 
@@ -27,13 +27,13 @@
                      *kCaller = "Caller", *kPostmark = "Postmark", *kNotRun = "Not-Run";
 
 struct Hop {
-    timetable::RouteKind kind = timetable::RouteKind::registered;
+    config::RouteKind kind = config::RouteKind::registered;
     int rank = 0;
     double target_ms = 0;
     unsigned tries = 1;
     bool may_wait = false;
     std::uint64_t edition = 0;
-    bool once() const { return kind == timetable::RouteKind::registered; }
+    bool once() const { return kind == config::RouteKind::registered; }
 };
 
 std::string to_text(const Hop& hop);
@@ -42,9 +42,9 @@
 // The server's answer as it may be passed on, or (as the error) a Failure that says whether the request may
 // have run: a success must bear the server's stamp and be its own bytes.
 leaf::result<HttpResponse> server_answer(HttpResponse response);
-// An answer of the guard's own to another guard.
+// An answer of the proxy's own to another proxy.
 HttpResponse own_answer(const Failure& failure);
-// What another guard's answer says; none: it is the server's.
+// What another proxy's answer says; none: it is the server's.
 std::optional<Failure> read_failure(const HttpResponse& response);
 
 // A refusal to a client: only with proof that the request has not run.
@@ -55,4 +55,4 @@
 // Whole milliseconds, rounded down, of a Deadline-Ms field; none: it is no figure.
 std::optional<double> read_ms(beast::string_view text);
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/gate.cpp
+++ b/src/proxy/inbound.cpp
@@ -1,10 +1,10 @@
-#include "guard/gate.hpp"
+#include "proxy/inbound.hpp"
 
 #include <boost/beast/http/empty_body.hpp>
 
 #include "net/form.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 namespace {
 constexpr Millis kConnectWithin = 1000, kIdleClose = 9000, kHeadTime = 5000, kReadTime = 30000,
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-Gate::Gate(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around)
+Inbound::Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around)
     : io_(io),
       clock_(clock),
       boot_(boot),
@@ -44,25 +44,25 @@
                 manner()),
       timer_(io) {}
 
-bool Gate::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
-    if (life != crossing_.life()) upstream_.retire(0);
-    const bool taken = crossing_.beat(life, capacity, closing, call_seq);
+bool Inbound::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
+    if (life != admission_.life()) upstream_.retire(0);
+    const bool taken = admission_.beat(life, capacity, closing, call_seq);
     look();
     return taken;
 }
 
-void Gate::gone(const std::string& life) {
-    crossing_.gone(life);
+void Inbound::gone(const std::string& life) {
+    admission_.gone(life);
     look();
 }
 
-void Gate::leave() {
-    crossing_.leave();
+void Inbound::leave() {
+    admission_.leave();
     look();
 }
 
-void Gate::ask_health(const std::string& path, std::uint32_t capacity,
-                      std::function<void(const std::string&)> well) {
+void Inbound::ask_health(const std::string& path, std::uint32_t capacity,
+                         std::function<void(const std::string&)> well) {
     struct Asking {
         explicit Asking(asio::io_context& io) : stream(io) {}
         beast::tcp_stream stream;
@@ -84,8 +84,8 @@
                              [=, this](error_code ec, std::size_t) {
                                  if (ec || asking->response.result_int() != 200) return;
                                  const std::string life(asking->response["Instance"]);
-                                 if (life.empty() || !crossing_.life().empty()) return;
-                                 crossing_.seen_well(life, capacity);
+                                 if (life.empty() || !admission_.life().empty()) return;
+                                 admission_.seen_well(life, capacity);
                                  well(life);
                                  look();
                              });
@@ -93,7 +93,7 @@
     });
 }
 
-Front::Bounds Gate::bounds() const {
+Front::Bounds Inbound::bounds() const {
     Bounds b;
     b.header = (1 << 20) + kMaxHeader;  // the most that a configuration lets clients send, and our own fields
     b.body = kMostBody;
@@ -101,21 +101,21 @@
     return b;
 }
 
-std::optional<http::status> Gate::fault(const HttpRequest& head) {
+std::optional<http::status> Inbound::fault(const HttpRequest& head) {
     if (const auto fault = framing_fault(head)) return fault;
-    // From a guard alone: whoever else calls here has no say in what the server runs.
+    // From a proxy alone: whoever else calls here has no say in what the server runs.
     if (head.count(kHop) != 1 || !read_hop(head[kHop]) || head.count(kInstance) != 1 ||
         head.count(kRequestId) != 1 || head.count(kCaller) != 1 || !read_ms(head[kDeadline]))
         return http::status::bad_request;
     return {};
 }
 
-RequestId Gate::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
+RequestId Inbound::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
     const Millis now = clock_.now();
-    const crossing::Ticket ticket = next_++;
+    const admission::Ticket ticket = next_++;
     const Hop hop = *read_hop((*request)[kHop]);
     if (hop.edition > around_.edition()) around_.newer(hop.edition);
-    crossing::Offer offer;
+    admission::Offer offer;
     offer.ticket = ticket;
     offer.id = std::string((*request)[kRequestId]);
     offer.life = std::string((*request)[kInstance]);
@@ -131,14 +131,14 @@
     job.message = std::move(request);
     job.client = std::move(client);
     job.deadline = offer.deadline;
-    const crossing::Answer said = crossing_.offer(now, offer);
-    if (said.act == crossing::Act::begin) begin(ticket);
-    if (said.act == crossing::Act::refuse) answer(ticket, own_answer({Verdict::not_run, said.reason}));
-    if (said.act == crossing::Act::wait) look_soon();
+    const admission::Answer said = admission_.offer(now, offer);
+    if (said.act == admission::Act::begin) begin(ticket);
+    if (said.act == admission::Act::refuse) answer(ticket, own_answer({Execution::not_run, said.reason}));
+    if (said.act == admission::Act::wait) look_soon();
     return ticket;
 }
 
-void Gate::begin(crossing::Ticket ticket) {
+void Inbound::begin(admission::Ticket ticket) {
     Job& job = jobs_.at(ticket);
     job.at_work = true;
     job.began = clock_.now();
@@ -149,7 +149,7 @@
     look_soon();
 }
 
-void Gate::ended(crossing::Ticket ticket, Outcome outcome, HttpResponse* response) {
+void Inbound::ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response) {
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end()) return;
     const Millis took = clock_.now() - at->second.began;
@@ -160,23 +160,23 @@
         said = leaf::try_handle_all(
             [&]() -> leaf::result<HttpResponse> { return server_answer(std::move(*response)); },
             [&](const Failure& failure) {
-                worked = failure.verdict != Verdict::not_run;
+                worked = failure.execution != Execution::not_run;
                 return own_answer(failure);
             },
             [] { return own_answer(Failure{}); });
         strip_hop_by_hop(said);
     } else {
         worked = outcome != Outcome::refused_connection && outcome != Outcome::superseded;
-        said = own_answer(worked ? Failure{Verdict::may_have_run,
+        said = own_answer(worked ? Failure{Execution::may_have_run,
                                            outcome == Outcome::overdue ? Reason::silent : Reason::broken}
-                                 : Failure{Verdict::not_run, Reason::unreachable});
+                                 : Failure{Execution::not_run, Reason::unreachable});
     }
-    crossing_.ended(ticket, worked && outcome == Outcome::completed ? took : 0, worked);
+    admission_.ended(ticket, worked && outcome == Outcome::completed ? took : 0, worked);
     answer(ticket, std::move(said));
     look_soon();
 }
 
-void Gate::answer(crossing::Ticket ticket, HttpResponse response) {
+void Inbound::answer(admission::Ticket ticket, HttpResponse response) {
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end()) return;
     const auto client = at->second.client.lock();
@@ -186,31 +186,31 @@
     client->answer(std::move(response));
 }
 
-void Gate::client_gone(RequestId id) {
+void Inbound::client_gone(RequestId id) {
     const auto at = jobs_.find(id);
     if (at == jobs_.end()) return;
     if (at->second.at_work) return upstream_.cancel({id, 0});  // ended() follows
-    crossing_.withdraw(id);
+    admission_.withdraw(id);
     jobs_.erase(at);
 }
 
-void Gate::look_soon() {
+void Inbound::look_soon() {
     if (std::exchange(looking_, true)) return;
     asio::post(io_, [this] { look(); });
 }
 
-void Gate::look() {
+void Inbound::look() {
     looking_ = false;
     const Millis now = clock_.now();
-    for (const auto& turned : crossing_.turned(now))
-        answer(turned.ticket, own_answer({Verdict::not_run, turned.reason}));
-    for (const crossing::Ticket ticket : crossing_.next(now)) begin(ticket);
+    for (const auto& turned : admission_.turned(now))
+        answer(turned.ticket, own_answer({Execution::not_run, turned.reason}));
+    for (const admission::Ticket ticket : admission_.next(now)) begin(ticket);
     while (!deadlines_.empty() && deadlines_.begin()->first.first <= now) {
-        const crossing::Ticket late = deadlines_.begin()->first.second;
+        const admission::Ticket late = deadlines_.begin()->first.second;
         deadlines_.erase(deadlines_.begin());
         upstream_.expire({late, 0});
     }
-    Millis next = crossing_.due();
+    Millis next = admission_.due();
     if (!deadlines_.empty() && (next == 0 || deadlines_.begin()->first.first < next))
         next = deadlines_.begin()->first.first;
     if (next == 0 || next == armed_for_) return;
@@ -223,4 +223,4 @@
     });
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
