--- a/src/guard/gate.hpp
+++ b/src/proxy/inbound.hpp
@@ -1,6 +1,6 @@
-// The server's side of a guard: takes requests from other guards, asks the Crossing whether and when they may
-// begin, passes them to the application server over few kept connections, and says truly what came of it.
-// Entry type: Gate, a Listener's Front. Made by GuardNode.
+// The server's side of a proxy: takes requests from other proxies, asks the Admission whether and when they
+// may begin, passes them to the application server over few kept connections, and says truly what came of it.
+// Entry type: Inbound, a Listener's Front. Made by Proxy.
 #pragma once
 
 #include <functional>
@@ -8,31 +8,31 @@
 #include <memory>
 #include <unordered_map>
 
+#include "admission/admission.hpp"
 #include "boot/boot.hpp"
-#include "crossing/crossing.hpp"
-#include "guard/hop.hpp"
 #include "net/clock.hpp"
 #include "net/front.hpp"
 #include "net/upstream.hpp"
+#include "proxy/hop.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
-class Gate : public Front {
+class Inbound : public Front {
 public:
     struct Around {
         std::function<std::uint64_t()> edition;
         std::function<void(std::uint64_t edition)> newer;  // a caller holds a newer one
     };
-    Gate(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around);
+    Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around);
 
-    // The server's own word (from its beats); see Crossing.
+    // The server's own word (from its beats); see Admission.
     bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
     void gone(const std::string& life);
     // Asks the server's health once, for its life, where no beat has come in this life of ours.
     void ask_health(const std::string& path, std::uint32_t capacity,
                     std::function<void(const std::string& life)> well);
     void leave();
-    const crossing::Crossing& crossing() const { return crossing_; }
+    const admission::Admission& admission() const { return admission_; }
     bool busy() const { return !jobs_.empty(); }
 
     Bounds bounds() const override;
@@ -49,9 +49,9 @@
         Millis deadline = 0, began = 0;
         bool at_work = false;
     };
-    void begin(crossing::Ticket ticket);
-    void ended(crossing::Ticket ticket, Outcome outcome, HttpResponse* response);
-    void answer(crossing::Ticket ticket, HttpResponse response);
+    void begin(admission::Ticket ticket);
+    void ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response);
+    void answer(admission::Ticket ticket, HttpResponse response);
     void look();  // what may begin, what is turned away, when to look again
     void look_soon();
 
@@ -59,14 +59,14 @@
     const Clock& clock_;
     const boot::Boot& boot_;
     Around around_;
-    crossing::Crossing crossing_;
+    admission::Admission admission_;
     Upstream upstream_;
-    std::unordered_map<crossing::Ticket, Job> jobs_;
-    std::map<std::pair<Millis, crossing::Ticket>, bool> deadlines_;  // of those at work
-    crossing::Ticket next_ = 1;
+    std::unordered_map<admission::Ticket, Job> jobs_;
+    std::map<std::pair<Millis, admission::Ticket>, bool> deadlines_;  // of those at work
+    admission::Ticket next_ = 1;
     asio::steady_timer timer_;
     Millis armed_for_ = 0;
     bool looking_ = false;
 };
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/mesh_dialect.cpp
+++ b/src/proxy/mesh_dialect.cpp
@@ -1,14 +1,14 @@
-#include "guard/mesh_dialect.hpp"
+#include "proxy/mesh_dialect.hpp"
 
 #include <algorithm>
 
-#include "crossing/module_settings.hpp"
+#include "admission/module_settings.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 namespace {
 constexpr std::uint64_t kMostAnswer = 64 << 20;
-// Of one request: the first offers are for a free slot only, the later ones may wait at the crossing.
+// Of one request: the first offers are for a free slot only, the later ones may wait at the admission.
 constexpr unsigned kWaitFrom = 2;
 constexpr Millis kLeastRetry = 60, kMostRetry = 1000;
 }  // namespace
@@ -29,10 +29,10 @@
     Mark mark;
     mark.hop = read_hop(message[kHop]).value_or(Hop());
     RequestArrived event;
-    event.class_index = crossing::class_of(mark.hop.once(), mark.hop.rank, mark.hop.target_ms);
+    event.class_index = admission::class_of(mark.hop.once(), mark.hop.rank, mark.hop.target_ms);
     story.class_index = event.class_index;
     story.mark = std::move(mark);
-    allowance_.request(around_.clock.now());
+    retry_budget_.request(around_.clock.now());
     ++counts_.requests;
     return event;
 }
@@ -41,7 +41,7 @@
     auto& mark = std::any_cast<Mark&>(story.mark);
     if (story.offered > 0) {
         const bool again = !(mark.hop.once() && story.may_have_run) && story.offered < mark.hop.tries &&
-                           allowance_.spend(around_.clock.now(), around_.live_guards());
+                           retry_budget_.spend(around_.clock.now(), around_.live_proxies());
         if (!again) {
             ++counts_.vetoed;
             return false;
@@ -74,7 +74,7 @@
         around_.newer(mark.server, static_cast<std::uint64_t>(read_ms(edition).value_or(0)));
     if (const auto failure = read_failure(*response)) {
         mark.reason = failure->reason;
-        if (failure->verdict != Verdict::not_run || failure->reason == Reason::repeated) {
+        if (failure->execution != Execution::not_run || failure->reason == Reason::repeated) {
             ++counts_.broken;
             return ran(failure->reason == Reason::silent ? Outcome::overdue : Outcome::severed, false);
         }
@@ -103,10 +103,10 @@
 HttpResponse MeshDialect::refusal(Story& story, Millis retry_in) {
     const auto& mark = std::any_cast<const Mark&>(story.mark);
     const auto proof =
-        NotRun::from({story.may_have_run ? Verdict::may_have_run : Verdict::not_run, mark.reason});
+        NotRun::from({story.may_have_run ? Execution::may_have_run : Execution::not_run, mark.reason});
     if (!proof) return failure(story);
     ++counts_.refused;
-    return guard::refusal(*proof, std::clamp(retry_in, kLeastRetry, kMostRetry));
+    return proxy::refusal(*proof, std::clamp(retry_in, kLeastRetry, kMostRetry));
 }
 
 HttpResponse MeshDialect::failure(Story& story) {
@@ -116,7 +116,7 @@
         tidy(*story.last);
         return std::move(*story.last);
     }
-    return guard::failure(std::any_cast<const Mark&>(story.mark).reason);
+    return proxy::failure(std::any_cast<const Mark&>(story.mark).reason);
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/mesh_dialect.hpp
+++ b/src/proxy/mesh_dialect.hpp
@@ -5,26 +5,26 @@
 
 #include <functional>
 
-#include "crossing/allowance.hpp"
-#include "guard/hop.hpp"
+#include "admission/retry_budget.hpp"
 #include "net/clock.hpp"
 #include "net/dialect.hpp"
+#include "proxy/hop.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 class MeshDialect : public Dialect {
 public:
     struct Around {
         const Clock& clock;
-        std::function<std::size_t()> live_guards;
+        std::function<std::size_t()> live_proxies;
         std::function<std::uint64_t()> edition;
-        // Said by the crossing of that life: it takes nothing for now, or is another's.
+        // Said by the admission of that life: it takes nothing for now, or is another's.
         std::function<void(const std::string& life)> avoid;
         // An answer came from there that says a newer edition is held.
         std::function<void(const std::string& life, std::uint64_t edition)> newer;
     };
-    MeshDialect(Around around, crossing::Allowance::Settings budget)
-        : around_(std::move(around)), allowance_(budget) {}
+    MeshDialect(Around around, admission::RetryBudget::Settings budget)
+        : around_(std::move(around)), retry_budget_(budget) {}
 
     UpstreamManner manner() override;
     RequestArrived classify(const HttpRequest& message, Story& story) override;
@@ -47,8 +47,8 @@
         Reason reason = Reason::no_server;
     };
     Around around_;
-    crossing::Allowance allowance_;
+    admission::RetryBudget retry_budget_;
     Counts counts_;
 };
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -1,23 +1,23 @@
-#include "guard/outbound.hpp"
+#include "proxy/outbound.hpp"
 
 #include <json/json.h>
 
 #include <algorithm>
 
-#include "crossing/module_settings.hpp"
+#include "admission/module_settings.hpp"
 #include "net/form.hpp"
 #include "net/path.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
-using timetable::Route;
-using timetable::RouteKind;
+using config::Route;
+using config::RouteKind;
 
 namespace {
 // Taken off the client's time: the answer has to be there before it gives up, not on its way.
 constexpr Millis kAnswerMargin = 8;
 constexpr Millis kConnectWithin = 400, kIdleClose = 9000, kDeadAfter = 2500;
-constexpr double kConnectionShare = 0.25;  // of the descriptors, to other guards, for all services
+constexpr double kConnectionShare = 0.25;  // of the descriptors, to other proxies, for all services
 constexpr std::size_t kLeastConnections = 32, kLeastServices = 4;
 constexpr Millis kAvoidFor = 700, kRetryUnsettled = 500, kEarlyFor = 900;
 constexpr Millis kBodyTime = 30000;
@@ -25,7 +25,7 @@
 constexpr std::size_t kMostEarly = 500;
 constexpr RequestId kEarlyBit = 1ULL << 63;
 constexpr int kIdBits = 48;  // of a request's number; above it its pool's
-constexpr std::uint32_t kGuards = 15;
+constexpr std::uint32_t kProxies = 15;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
         config.seed = owner.seed_ + index;
         std::optional<ZoneId> zone;
         if (const auto at = owner.zones_.find(owner.boot_.zone); at != owner.zones_.end()) zone = at->second;
-        config.settings = crossing::module_settings(zone, kGuards);
+        config.settings = admission::module_settings(zone, kProxies);
         for (const auto& [zone_name, id] : owner.zones_) {
             (void)id;
             config.zone(zone_name);
@@ -44,7 +44,7 @@
         limits.connect_timeout = kConnectWithin;
         limits.idle_close = kIdleClose;
         const std::size_t services =
-            std::max(kLeastServices, owner.timetable_ ? owner.timetable_->services.size() : 0);
+            std::max(kLeastServices, owner.configuration_ ? owner.configuration_->services.size() : 0);
         limits.connections = std::max(
             kLeastConnections,
             static_cast<std::size_t>(static_cast<double>(owner.boot_.file_limit) * kConnectionShare) /
@@ -55,19 +55,19 @@
         sidecar->start();
     }
     static MeshDialect::Around around(Outbound& owner) {
-        return {owner.clock_, owner.around_.live_guards,
-                [&owner] { return owner.timetable_ ? owner.timetable_->edition : 0; },
+        return {owner.clock_, owner.around_.live_proxies,
+                [&owner] { return owner.configuration_ ? owner.configuration_->edition : 0; },
                 [&owner](const std::string& life) {
                     owner.avoided_[life] = owner.clock_.now() + kAvoidFor;
-                    owner.yard_changed();
+                    owner.registry_changed();
                 },
                 [&owner](const std::string& life, std::uint64_t edition) {
                     if (const auto at = owner.ip_of_.find(life); at != owner.ip_of_.end())
                         owner.around_.newer(at->second, edition);
                 }};
     }
-    static crossing::Allowance::Settings budget(const boot::Boot& boot) {
-        crossing::Allowance::Settings s;
+    static admission::RetryBudget::Settings budget(const boot::Boot& boot) {
+        admission::RetryBudget::Settings s;
         s.ratio = boot.bound("retry_ratio", s.ratio);
         s.slack = boot.bound("retry_slack", s.slack);
         s.window = boot.bound("retry_window_s", s.window / 1000) * 1000;
@@ -98,9 +98,9 @@
 
 Outbound::~Outbound() { *alive_ = false; }
 
-void Outbound::hold(std::shared_ptr<const timetable::Timetable> timetable) {
-    timetable_ = std::move(timetable);
-    for (const auto& [name, service] : timetable_->services) pool(name);
+void Outbound::hold(std::shared_ptr<const config::Configuration> configuration) {
+    configuration_ = std::move(configuration);
+    for (const auto& [name, service] : configuration_->services) pool(name);
     early_timer_.cancel();
     for (Early& one : std::exchange(early_, {})) {
         const auto client = one.client.lock();
@@ -113,11 +113,11 @@
     }
 }
 
-// The first timetable has not come in time: what waits for it is told when to come back.
+// The first configuration has not come in time: what waits for it is told when to come back.
 void Outbound::refuse_early() {
     for (Early& one : std::exchange(early_, {}))
         if (const auto client = one.client.lock())
-            client->answer(refusal(*NotRun::from({Verdict::not_run, Reason::unsettled}), kRetryUnsettled));
+            client->answer(refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), kRetryUnsettled));
 }
 
 Outbound::Pool& Outbound::pool(const std::string& service) {
@@ -125,7 +125,7 @@
     if (!found) {
         found = std::make_unique<Pool>(*this, service, by_number_.size());
         by_number_.push_back(found.get());
-        yard_changed();
+        registry_changed();
     }
     return *found;
 }
@@ -137,7 +137,7 @@
 
 // ---- Servers ----------------------------------------------------------------------------------------------
 
-void Outbound::yard_changed() {
+void Outbound::registry_changed() {
     if (listing_) return;
     listing_ = true;
     asio::post(io_, [this, alive = alive_] {
@@ -153,14 +153,14 @@
     ip_of_.clear();
     std::erase_if(avoided_, [now](const auto& one) { return one.second <= now; });
     Millis look_again = 0;
-    around_.each([&](const yard::NodeRecord& node, yard::Standing standing) {
-        if (!node.server || node.server->life.empty() || standing == yard::Standing::gone) return;
-        const yard::ServerRecord& server = *node.server;
+    around_.each([&](const registry::NodeRecord& node, registry::Standing standing) {
+        if (!node.server || node.server->life.empty() || standing == registry::Standing::gone) return;
+        const registry::ServerRecord& server = *node.server;
         // As of when this life was first heard: the module takes another start for another process.
         const auto known = born_.find(server.life);
         born[server.life] = known != born_.end() ? known->second
                             : server.warmup_left_s > 0
-                                ? now + server.warmup_left_s * 1000 - crossing::kWarmWithin
+                                ? now + server.warmup_left_s * 1000 - admission::kWarmWithin
                                 : 0;
         ip_of_[server.life] = node.ip;
         Host host;
@@ -172,8 +172,8 @@
         const auto avoided = avoided_.find(server.life);
         if (avoided != avoided_.end())
             look_again = look_again == 0 ? avoided->second : std::min(look_again, avoided->second);
-        const bool on = node.ready && !node.leaving && !server.closing && standing == yard::Standing::alive &&
-                        avoided == avoided_.end();
+        const bool on = node.ready && !node.leaving && !server.closing &&
+                        standing == registry::Standing::alive && avoided == avoided_.end();
         host.phase = on ? Phase::on : Phase::fading;
         lists[server.service].hosts.push_back(std::move(host));
     });
@@ -186,7 +186,7 @@
     if (look_again > 0) {
         avoid_timer_.expires_at(clock_.point(look_again));
         avoid_timer_.async_wait([this, alive = alive_](error_code ec) {
-            if (*alive && !ec) yard_changed();
+            if (*alive && !ec) registry_changed();
         });
     }
 }
@@ -197,8 +197,8 @@
     Bounds b;
     b.body = kMostBody;
     b.read_time = kBodyTime;
-    if (!timetable_) return b;
-    const timetable::Limits& limits = timetable_->limits;
+    if (!configuration_) return b;
+    const config::Limits& limits = configuration_->limits;
     b.header = std::clamp<std::size_t>(limits.max_header_bytes, 1024, 1 << 20);
     b.body = std::min<std::uint64_t>(limits.max_body_bytes, kMostBody);
     b.head_time = std::max(100.0, limits.header_read_ms);
@@ -225,13 +225,13 @@
 
 const Route* Outbound::route_of(const HttpRequest& request) const {
     const auto host = request[http::field::host], target = request.target();
-    return timetable_->find({host.data(), host.size()}, {target.data(), target.size()});
+    return configuration_->find({host.data(), host.size()}, {target.data(), target.size()});
 }
 
 std::optional<HttpResponse> Outbound::local(const HttpRequest& request) {
-    if (!timetable_) {
+    if (!configuration_) {
         if (clock_.now() < early_until_ && early_.size() < kMostEarly) return {};
-        return refusal(*NotRun::from({Verdict::not_run, Reason::unsettled}), kRetryUnsettled);
+        return refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), kRetryUnsettled);
     }
     if (!route_of(request)) return HttpResponse(http::status::not_found, 11);
     return {};
@@ -252,7 +252,7 @@
 }
 
 RequestId Outbound::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
-    if (!timetable_) {
+    if (!configuration_) {
         const RequestId id = kEarlyBit | ++early_id_;
         early_.push_back({std::move(request), std::move(client), clock_.now(), spent, id});
         if (early_.size() > 1) return id;
@@ -265,7 +265,7 @@
     const Route* route = route_of(*request);
     const Millis client_left = read_ms((*request)[kDeadline]).value_or(route->deadline_ms);
     const Millis left = std::min(client_left, route->deadline_ms) - spent - kAnswerMargin;
-    // Whatever Connection names, these stay: the server and the crossing go by them.
+    // Whatever Connection names, these stay: the server and the admission go by them.
     const std::string name((*request)[kRequestId]), host((*request)[http::field::host]);
     strip_hop_by_hop(*request);
     request->set(kRequestId, name);
@@ -313,4 +313,4 @@
     return Json::writeString(writer, all);
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/outbound.hpp
+++ b/src/proxy/outbound.hpp
@@ -1,6 +1,6 @@
-// The caller's side of a guard: requests of the clients and of the server on this machine, by the timetable's
-// routes to a service's servers. One Sidecar (and so one decision module) a service, each with the servers
-// that the yard knows. Entry type: Outbound, a Listener's Front. Made by GuardNode.
+// The caller's side of a proxy: requests of the clients and of the server on this machine, by the
+// configuration's routes to a service's servers. One Sidecar (and so one decision module) a service, each
+// with the servers that the registry knows. Entry type: Outbound, a Listener's Front. Made by Proxy.
 #pragma once
 
 #include <map>
@@ -9,20 +9,20 @@
 #include <string>
 
 #include "boot/boot.hpp"
-#include "guard/mesh_dialect.hpp"
 #include "net/front.hpp"
 #include "net/sidecar.hpp"
+#include "proxy/mesh_dialect.hpp"
 #include "random.hpp"
-#include "yard/records.hpp"
+#include "registry/records.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 class Outbound : public Front {
 public:
     struct Around {
-        std::function<std::size_t()> live_guards;
-        // Visits all known guards.
-        std::function<void(const std::function<void(const yard::NodeRecord&, yard::Standing)>&)> each;
+        std::function<std::size_t()> live_proxies;
+        // Visits all known proxies.
+        std::function<void(const std::function<void(const registry::NodeRecord&, registry::Standing)>&)> each;
         std::function<void(std::uint32_t ip, std::uint64_t edition)> newer;  // somebody holds a newer edition
         std::function<void(std::uint32_t ip)> unreachable;
     };
@@ -30,9 +30,9 @@
              std::uint64_t seed);
     ~Outbound() override;
 
-    void hold(std::shared_ptr<const timetable::Timetable> timetable);
-    bool holds() const { return timetable_ != nullptr; }
-    void yard_changed();  // soon, once for many
+    void hold(std::shared_ptr<const config::Configuration> configuration);
+    bool holds() const { return configuration_ != nullptr; }
+    void registry_changed();  // soon, once for many
     bool busy() const;
 
     Bounds bounds() const override;
@@ -50,8 +50,8 @@
     struct Pool;
     Pool& pool(const std::string& service);
     void list_servers();
-    const timetable::Route* route_of(const HttpRequest& request) const;
-    const std::string& choose(const timetable::Route& route);
+    const config::Route* route_of(const HttpRequest& request) const;
+    const std::string& choose(const config::Route& route);
 
     asio::io_context& io_;
     const Clock& clock_;
@@ -59,8 +59,8 @@
     Around around_;
     std::uint64_t seed_;
     kelplb::Random lots_;
-    std::shared_ptr<const timetable::Timetable> timetable_;
-    // Read while this guard holds no timetable yet: they wait a moment for it.
+    std::shared_ptr<const config::Configuration> configuration_;
+    // Read while this proxy holds no configuration yet: they wait a moment for it.
     struct Early {
         RequestPtr request;
         std::weak_ptr<Client> client;
@@ -76,7 +76,7 @@
     std::map<std::string, std::unique_ptr<Pool>> pools_;
     std::vector<Pool*> by_number_;
     std::map<std::string, ZoneId> zones_;
-    std::map<std::string, Millis> avoided_;  // lives whose crossing takes nothing, until when
+    std::map<std::string, Millis> avoided_;  // lives whose admission takes nothing, until when
     std::map<std::string, Millis> born_;     // lives, as the module is told
     std::map<std::string, std::uint32_t> ip_of_;
     asio::steady_timer avoid_timer_;
@@ -84,4 +84,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/guard_node.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,16 +1,16 @@
-#include "guard/guard_node.hpp"
+#include "proxy/proxy.hpp"
 
 #include <json/json.h>
 
 #include "log/log.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
 namespace {
 constexpr std::uint64_t kMostCall = 64 * 1024;  // bytes of a beat
-// After SIGTERM: the crossing goes on while callers learn of it, the callers' side while the platform moves
+// After SIGTERM: the admission goes on while callers learn of it, the callers' side while the platform moves
 // clients.
-constexpr Millis kGateOpenFor = 400, kListenFor = 2600, kLook = 20, kLastMoment = 250;
+constexpr Millis kInboundOpenFor = 400, kListenFor = 2600, kLook = 20, kLastMoment = 250;
 constexpr std::chrono::seconds kTallyEvery{60};
 constexpr std::uint32_t kCapacityUnheard = 4;  // of a server whose health answered before its first beat
 
@@ -20,27 +20,27 @@
 }
 }  // namespace
 
-GuardNode::GuardNode(asio::io_context& io, boot::Boot boot, std::uint64_t seed)
+Proxy::Proxy(asio::io_context& io, boot::Boot boot, std::uint64_t seed)
     : io_(io),
       boot_(std::move(boot)),
-      news_(io, boot_, yard::NodeRole::guard, boot_.inbound ? boot_.inbound->port() : 0),
-      feed_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
-      gate_(io, clock_, boot_,
-            {[this] { return feed_.held() ? feed_.held()->edition : 0; },
-             [this](std::uint64_t edition) {
-                 // Whom it came from is not known here; the hubs have it, or know who has.
-                 for (const std::uint32_t hub : news_.hubs()) feed_.hint(hub, edition);
-             }}),
+      gossip_(io, boot_, registry::NodeRole::proxy, boot_.inbound ? boot_.inbound->port() : 0),
+      distributor_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
+      inbound_(io, clock_, boot_,
+               {[this] { return distributor_.held() ? distributor_.held()->edition : 0; },
+                [this](std::uint64_t edition) {
+                    // Whom it came from is not known here; the hubs have it, or know who has.
+                    for (const std::uint32_t hub : gossip_.hubs()) distributor_.hint(hub, edition);
+                }}),
       outbound_(io, clock_, boot_,
-                {[this] { return news_.live_guards(); },
+                {[this] { return gossip_.live_proxies(); },
                  [this](const auto& visit) {
-                     visit(news_.self(), yard::Standing::alive);
-                     news_.each([&](const yard::NodeRecord& node, yard::Standing standing) {
-                         if (node.role == yard::NodeRole::guard) visit(node, standing);
+                     visit(gossip_.self(), registry::Standing::alive);
+                     gossip_.each([&](const registry::NodeRecord& node, registry::Standing standing) {
+                         if (node.role == registry::NodeRole::proxy) visit(node, standing);
                      });
                  },
-                 [this](std::uint32_t ip, std::uint64_t edition) { feed_.hint(ip, edition); },
-                 [this](std::uint32_t ip) { news_.unreachable(ip); }},
+                 [this](std::uint32_t ip, std::uint64_t edition) { distributor_.hint(ip, edition); },
+                 [this](std::uint32_t ip) { gossip_.unreachable(ip); }},
                 seed),
       beats_({[this](const Beat& beat) { heard_beat(beat); },
               [this](const std::string& life) { heard_gone(life); }}),
@@ -48,31 +48,35 @@
       control_front_(kMostCall),
       ready_front_(kMostCall),
       outbound_listener_(io, clock_, outbound_, limits(boot_, 0.35)),
-      inbound_listener_(io, clock_, gate_, limits(boot_, 0.25)),
+      inbound_listener_(io, clock_, inbound_, limits(boot_, 0.25)),
       control_listener_(io, clock_, control_front_, limits(boot_, 0.02)),
       ready_listener_(io, clock_, ready_front_, limits(boot_, 0.02)),
       timer_(io),
       tally_timer_(io) {
     control_front_.add(beats_);
     ready_front_.add(ready_);
-    news_.on_change = [this](const yard::NodeRecord&, yard::Standing) { outbound_.yard_changed(); };
-    news_.on_timetable = [this](std::uint32_t ip, std::uint64_t edition) { feed_.hint(ip, edition); };
-    feed_.on_new = [this](std::shared_ptr<const timetable::Timetable> t) { took(std::move(t)); };
+    gossip_.on_change = [this](const registry::NodeRecord&, registry::Standing) {
+        outbound_.registry_changed();
+    };
+    gossip_.on_configuration = [this](std::uint32_t ip, std::uint64_t edition) {
+        distributor_.hint(ip, edition);
+    };
+    distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) { took(std::move(t)); };
     if (boot_.outbound) outbound_listener_.listen(*boot_.outbound);
     if (boot_.inbound) inbound_listener_.listen(*boot_.inbound);
     if (boot_.control) control_listener_.listen(*boot_.control);
     if (boot_.readiness) ready_listener_.listen(*boot_.readiness);
     tally();
-    news_.start();
-    log_line("GD001 started", "guard " + boot_.node_name + " of " + boot_.service + " started");
+    gossip_.start();
+    log_line("GD001 started", "proxy " + boot_.node_name + " of " + boot_.service + " started");
 }
 
-bool GuardNode::ready() const { return !leaving_ && outbound_.holds() && news_.joined(); }
+bool Proxy::ready() const { return !leaving_ && outbound_.holds() && gossip_.joined(); }
 
-void GuardNode::heard_beat(const Beat& beat) {
-    if (!gate_.beat(beat.life, beat.capacity, beat.closing, beat.call_seq)) return;
-    news_.tell([&](yard::NodeRecord& own) {
-        yard::ServerRecord server;
+void Proxy::heard_beat(const Beat& beat) {
+    if (!inbound_.beat(beat.life, beat.capacity, beat.closing, beat.call_seq)) return;
+    gossip_.tell([&](registry::NodeRecord& own) {
+        registry::ServerRecord server;
         server.life = beat.life;
         server.service = beat.service;
         server.edition = beat.edition;
@@ -83,47 +87,48 @@
         own.server = server;
         own.ready = !leaving_;
     });
-    outbound_.yard_changed();
+    outbound_.registry_changed();
 }
 
-void GuardNode::heard_gone(const std::string& life) {
-    gate_.gone(life);
-    news_.tell([&](yard::NodeRecord& own) {
+void Proxy::heard_gone(const std::string& life) {
+    inbound_.gone(life);
+    gossip_.tell([&](registry::NodeRecord& own) {
         if (own.server && own.server->life == life) own.server->closing = true;
     });
-    outbound_.yard_changed();
+    outbound_.registry_changed();
 }
 
-void GuardNode::took(std::shared_ptr<const timetable::Timetable> timetable) {
-    const std::uint64_t edition = timetable->edition;
-    log_line("GD002 timetable", "timetable r" + std::to_string(edition) + " in force");
-    outbound_.hold(timetable);
-    news_.tell([&](yard::NodeRecord& own) { own.timetable = edition; });
+void Proxy::took(std::shared_ptr<const config::Configuration> configuration) {
+    const std::uint64_t edition = configuration->edition;
+    log_line("GD002 configuration", "configuration r" + std::to_string(edition) + " in force");
+    outbound_.hold(configuration);
+    gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = edition; });
     // Started again beside a server that runs on: its next beat is up to heartbeat_s away.
-    if (boot_.first_boot || asked_health_ || !boot_.app_address || !gate_.crossing().life().empty()) return;
-    const auto service = timetable->services.find(boot_.service);
-    if (service == timetable->services.end()) return;
+    if (boot_.first_boot || asked_health_ || !boot_.app_address || !inbound_.admission().life().empty())
+        return;
+    const auto service = configuration->services.find(boot_.service);
+    if (service == configuration->services.end()) return;
     asked_health_ = true;
     // As large as the others of its service, until it says so itself.
     std::uint32_t capacity = kCapacityUnheard;
-    news_.each([&](const yard::NodeRecord& node, yard::Standing) {
+    gossip_.each([&](const registry::NodeRecord& node, registry::Standing) {
         if (node.server && node.server->service == boot_.service)
             capacity = std::max(capacity, node.server->capacity);
     });
-    gate_.ask_health(service->second.health_path, capacity, [this, capacity](const std::string& life) {
-        news_.tell([&](yard::NodeRecord& own) {
-            yard::ServerRecord server;
+    inbound_.ask_health(service->second.health_path, capacity, [this, capacity](const std::string& life) {
+        gossip_.tell([&](registry::NodeRecord& own) {
+            registry::ServerRecord server;
             server.life = life;
             server.service = boot_.service;
             server.capacity = capacity;
             own.server = server;
             own.ready = !leaving_;
         });
-        outbound_.yard_changed();
+        outbound_.registry_changed();
     });
 }
 
-void GuardNode::tally() {
+void Proxy::tally() {
     tally_timer_.expires_after(kTallyEvery);
     tally_timer_.async_wait([this](error_code ec) {
         if (ec) return;
@@ -132,24 +137,24 @@
     });
 }
 
-void GuardNode::reload(const boot::Boot& boot) {
+void Proxy::reload(const boot::Boot& boot) {
     boot_.bounds = boot.bounds;
     log_line("GD003 settings", "settings read again");
 }
 
-void GuardNode::stop(std::function<void()> done) {
+void Proxy::stop(std::function<void()> done) {
     if (stopped_) return;
     stopped_ = std::move(done);
     leaving_ = true;
     stop_at_ = clock_.now() + boot_.bound("grace_s", 6) * 1000 - kLastMoment;
     log_line("GD004 leaving", "SIGTERM: takes no new work");
-    news_.tell([](yard::NodeRecord& own) { own.leaving = true, own.ready = false; });
+    gossip_.tell([](registry::NodeRecord& own) { own.leaving = true, own.ready = false; });
     outbound_listener_.drain();
-    timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kGateOpenFor)));
+    timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kInboundOpenFor)));
     timer_.async_wait([this](error_code) {
-        gate_.leave();
+        inbound_.leave();
         inbound_listener_.drain();
-        timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kListenFor - kGateOpenFor)));
+        timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kListenFor - kInboundOpenFor)));
         timer_.async_wait([this](error_code) {
             outbound_listener_.stop_accepting();
             inbound_listener_.stop_accepting();
@@ -158,27 +163,27 @@
     });
 }
 
-void GuardNode::wind_down() {
-    const bool held = outbound_listener_.busy() || outbound_.busy() || gate_.busy();
+void Proxy::wind_down() {
+    const bool held = outbound_listener_.busy() || outbound_.busy() || inbound_.busy();
     if (!held || clock_.now() >= stop_at_) {
         log_line("GD005 ended", held ? "ended with requests held" : "ended with nothing held");
-        news_.stop();
+        gossip_.stop();
         return stopped_();
     }
     timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kLook)));
     timer_.async_wait([this](error_code) { wind_down(); });
 }
 
-std::string GuardNode::status() const {
+std::string Proxy::status() const {
     Json::Value all;
     all["node"] = boot_.node_name;
     all["ready"] = ready();
-    all["timetable"] = Json::UInt64(feed_.held() ? feed_.held()->edition : 0);
-    all["life"] = gate_.crossing().life();
-    all["capacity"] = gate_.crossing().capacity();
-    all["closing"] = gate_.crossing().closing();
-    all["working"] = Json::UInt64(gate_.crossing().working());
-    all["waiting"] = Json::UInt64(gate_.crossing().waiting());
+    all["configuration"] = Json::UInt64(distributor_.held() ? distributor_.held()->edition : 0);
+    all["life"] = inbound_.admission().life();
+    all["capacity"] = inbound_.admission().capacity();
+    all["closing"] = inbound_.admission().closing();
+    all["working"] = Json::UInt64(inbound_.admission().working());
+    all["waiting"] = Json::UInt64(inbound_.admission().waiting());
     const auto nested = [](const std::string& text) {
         Json::Value value;
         Json::CharReaderBuilder builder;
@@ -188,10 +193,10 @@
         return value;
     };
     all["services"] = nested(outbound_.status());
-    all["news"] = nested(news_.status());
+    all["news"] = nested(gossip_.status());
     Json::StreamWriterBuilder writer;
     writer["indentation"] = "";
     return Json::writeString(writer, all);
 }
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/guard/guard_node.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,25 +1,25 @@
-// A guard (standard term: sidecar proxy) put together: news, timetable, crossing, callers' side, desk. Entry
-// type: GuardNode. Made by the program cobaltshift-guard.
+// A proxy (standard term: sidecar proxy) put together: news, configuration, admission, callers' side, desk.
+// Entry type: Proxy. Made by the program cobaltshift-proxy.
 #pragma once
 
 #include <functional>
 #include <memory>
 
+#include "api/api_front.hpp"
 #include "boot/boot.hpp"
-#include "desk/api_front.hpp"
-#include "guard/beats.hpp"
-#include "guard/gate.hpp"
-#include "guard/outbound.hpp"
+#include "config_io/config_distributor.hpp"
+#include "gossip_io/gossip_transport.hpp"
 #include "net/listener.hpp"
-#include "news_io/news.hpp"
-#include "timetable_io/feed.hpp"
+#include "proxy/beats.hpp"
+#include "proxy/inbound.hpp"
+#include "proxy/outbound.hpp"
 
-namespace cobaltshift::guard {
+namespace cobaltshift::proxy {
 
-class GuardNode {
+class Proxy {
 public:
     // Throws boost::system::system_error if it can't listen.
-    GuardNode(asio::io_context& io, boot::Boot boot, std::uint64_t seed);
+    Proxy(asio::io_context& io, boot::Boot boot, std::uint64_t seed);
 
     // SIGTERM: stops taking work in order, and calls `done` when nothing is held or grace is nearly over.
     void stop(std::function<void()> done);
@@ -30,7 +30,7 @@
 private:
     void heard_beat(const Beat& beat);
     void heard_gone(const std::string& life);
-    void took(std::shared_ptr<const timetable::Timetable> timetable);
+    void took(std::shared_ptr<const config::Configuration> configuration);
 
     void wind_down();
     void tally();
@@ -38,13 +38,13 @@
     asio::io_context& io_;
     boot::Boot boot_;
     Clock clock_;
-    news::News news_;
-    timetable::Feed feed_;
-    Gate gate_;
+    gossip_io::GossipTransport gossip_;
+    config::ConfigDistributor distributor_;
+    Inbound inbound_;
     Outbound outbound_;
     Beats beats_;
     Ready ready_;
-    desk::ApiFront control_front_, ready_front_;
+    api::ApiFront control_front_, ready_front_;
     Listener outbound_listener_, inbound_listener_, control_listener_, ready_listener_;
     asio::steady_timer timer_, tally_timer_;
     std::function<void()> stopped_;
@@ -52,4 +52,4 @@
     bool leaving_ = false, asked_health_ = false;
 };
 
-}  // namespace cobaltshift::guard
+}  // namespace cobaltshift::proxy
--- a/src/agree/codec.cpp
+++ b/src/raft/codec.cpp
@@ -1,9 +1,9 @@
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 
 #include "store/fields.hpp"
 #include "store/sealed.hpp"
 
-namespace cobaltshift::agree {
+namespace cobaltshift::raft {
 
 namespace {
 
@@ -240,4 +240,4 @@
     return guarded<Snapshot>([&] { return snapshot_of(bytes); });
 }
 
-}  // namespace cobaltshift::agree
+}  // namespace cobaltshift::raft
--- a/src/agree/codec.hpp
+++ b/src/raft/codec.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "agree/types.hpp"
+#include "raft/types.hpp"
 
-namespace cobaltshift::agree {
+namespace cobaltshift::raft {
 
 std::string encode(const Message& message);
 // None: not a message; `why` then says what is wrong.
@@ -22,4 +22,4 @@
 std::string encode(const Snapshot& snapshot);
 std::optional<Snapshot> decode_snapshot(std::string_view bytes);
 
-}  // namespace cobaltshift::agree
+}  // namespace cobaltshift::raft
--- a/src/agree/keeper.cpp
+++ b/src/raft/raft_node.cpp
@@ -1,10 +1,10 @@
-#include "agree/keeper.hpp"
+#include "raft/raft_node.hpp"
 
 #include <algorithm>
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 
-namespace cobaltshift::agree {
+namespace cobaltshift::raft {
 
 namespace {
 constexpr Millis kJoinEvery = 500;
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kMostQuestions = 100000;
 }  // namespace
 
-Stored founded(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers) {
+Stored bootstrap(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers) {
     Stored stored;
     stored.fleet = fleet;
     stored.id = number + 1;
@@ -21,14 +21,14 @@
     return stored;
 }
 
-Stored newcomer(std::uint64_t fleet, KeeperId id) {
+Stored newcomer(std::uint64_t fleet, MemberId id) {
     Stored stored;
     stored.fleet = fleet;
     stored.id = id;
     return stored;
 }
 
-Keeper::Keeper(const Settings& settings, Stored stored, Millis now, std::uint64_t draw)
+RaftNode::RaftNode(const Settings& settings, Stored stored, Millis now, std::uint64_t draw)
     : settings_(settings),
       id_(stored.id),
       run_{stored.starts, draw},
@@ -54,44 +54,44 @@
 
 // ---- Small things ----------------------------------------------------------------------------------------
 
-const Member* Keeper::find(KeeperId id) const {
+const Member* RaftNode::find(MemberId id) const {
     for (const Member& member : members_)
         if (member.id == id) return &member;
     return nullptr;
 }
 
-bool Keeper::voter(KeeperId id) const {
+bool RaftNode::voter(MemberId id) const {
     const Member* member = find(id);
     return member && member->voter;
 }
 
-std::size_t Keeper::majority() const {
+std::size_t RaftNode::majority() const {
     const auto voters =
         std::count_if(members_.begin(), members_.end(), [](const Member& m) { return m.voter; });
     return static_cast<std::size_t>(voters) / 2 + 1;
 }
 
-Term Keeper::term_at(Index index) const {
+Term RaftNode::term_at(Index index) const {
     return index == snapshot_.index ? snapshot_.term : log_[index - first()].term;
 }
 
-bool Keeper::as_new(const Message& m) const {
+bool RaftNode::as_new(const Message& m) const {
     const Term mine = term_at(last());
     return m.log_term > mine || (m.log_term == mine && m.index >= last());
 }
 
-bool Keeper::hears_leader(Millis now) const {
+bool RaftNode::hears_leader(Millis now) const {
     return role_ == Role::leader || (leader_ != kNobody && now < leader_heard_ + settings_.election);
 }
 
-std::optional<std::uint32_t> Keeper::leader_number() const {
+std::optional<std::uint32_t> RaftNode::leader_number() const {
     const Member* member = find(leader_);
     return member ? std::optional(member->number) : std::nullopt;
 }
 
-void Keeper::set_election(Millis now) { election_due_ = now + settings_.election * (1 + lots_.unit()); }
+void RaftNode::set_election(Millis now) { election_due_ = now + settings_.election * (1 + lots_.unit()); }
 
-Message Keeper::message(Message::Kind kind, KeeperId to) const {
+Message RaftNode::message(Message::Kind kind, MemberId to) const {
     Message m;
     m.kind = kind;
     m.fleet = settings_.fleet;
@@ -105,7 +105,7 @@
     return m;
 }
 
-Message Keeper::reply(Message::Kind kind, const Message& to) const {
+Message RaftNode::reply(Message::Kind kind, const Message& to) const {
     Message m = message(kind, to.from);
     m.to_number = to.number;
     return m;
@@ -113,14 +113,14 @@
 
 // ---- The log ---------------------------------------------------------------------------------------------
 
-void Keeper::append(Entry entry) {
+void RaftNode::append(Entry entry) {
     log_.push_back(std::move(entry));
     const Index index = last();
     unkept_from_ = unkept_from_ == 0 ? index : std::min(unkept_from_, index);
     if (log_.back().kind == Entry::Kind::members) read_members();
 }
 
-void Keeper::truncate(Index from) {
+void RaftNode::truncate(Index from) {
     if (from <= commit_) throw Broken("a committed entry would be replaced");
     log_.resize(from - first());
     unkept_from_ = unkept_from_ == 0 ? from : std::min(unkept_from_, from);
@@ -128,7 +128,7 @@
     if (members_at_ >= from) read_members();
 }
 
-void Keeper::read_members() {
+void RaftNode::read_members() {
     members_at_ = snapshot_.index;
     members_ = snapshot_.members;
     for (Index index = last(); index > snapshot_.index; --index) {
@@ -148,14 +148,14 @@
 
 // ---- Time, elections -------------------------------------------------------------------------------------
 
-Millis Keeper::due() const {
+Millis RaftNode::due() const {
     if (retired_) return 1e18;
     if (role_ == Role::leader) return heartbeat_due_;
     if (!member()) return join_due_;
     return voter(id_) ? election_due_ : 1e18;
 }
 
-void Keeper::tick(Millis now) {
+void RaftNode::tick(Millis now) {
     now_ = now;
     if (retired_) return;
     if (role_ == Role::leader) {
@@ -178,7 +178,7 @@
     if (voter(id_) && now >= election_due_) stand(now, false);
 }
 
-void Keeper::stand(Millis now, bool for_real) {
+void RaftNode::stand(Millis now, bool for_real) {
     leader_ = kNobody;
     votes_.clear();
     set_election(now);
@@ -201,7 +201,7 @@
     count_votes(now);
 }
 
-void Keeper::count_votes(Millis now) {
+void RaftNode::count_votes(Millis now) {
     std::size_t count = 0;
     for (const auto& [id, ok] : votes_) count += ok && voter(id);
     if (count < majority()) return;
@@ -211,7 +211,7 @@
         lead(now);
 }
 
-void Keeper::follow(Millis now, Term term, KeeperId leader) {
+void RaftNode::follow(Millis now, Term term, MemberId leader) {
     if (term > term_) {
         term_ = term;
         voted_ = kNobody;
@@ -228,7 +228,7 @@
     round_wanted_ = false;
 }
 
-void Keeper::lead(Millis now) {
+void RaftNode::lead(Millis now) {
     role_ = Role::leader;
     leader_ = id_;
     ++counts_.led;
@@ -250,7 +250,7 @@
 
 // ---- Leading ---------------------------------------------------------------------------------------------
 
-void Keeper::broadcast(Millis now, bool again) {
+void RaftNode::broadcast(Millis now, bool again) {
     ++round_;
     round_wanted_ = false;
     const std::uint64_t since = tick_round_;
@@ -280,7 +280,7 @@
     look_at_rounds();
 }
 
-void Keeper::send_entries(KeeperId to, bool even_if_empty) {
+void RaftNode::send_entries(MemberId to, bool even_if_empty) {
     Peer& peer = peers_.at(to);
     if (peer.next <= snapshot_.index) return;  // a snapshot first, with the next round
     do {
@@ -304,13 +304,13 @@
     } while (peer.next <= last() && peer.out_bytes < settings_.window_bytes);
 }
 
-std::optional<Index> Keeper::propose(std::string data) {
+std::optional<Index> RaftNode::propose(std::string data) {
     if (!leads() || retired_ || data.size() > kMaxEntryBytes) return {};
     append({term_, Entry::Kind::data, std::move(data)});
     return last();
 }
 
-bool Keeper::confirm(std::uint64_t question) {
+bool RaftNode::confirm(std::uint64_t question) {
     if (!leads() || retired_ || questions_.size() >= kMostQuestions) return false;
     questions_.push_back({question, round_ + 1});
     round_wanted_ = true;
@@ -318,7 +318,7 @@
 }
 
 // The rounds that a majority has acknowledged answer what was asked before they began.
-void Keeper::look_at_rounds() {
+void RaftNode::look_at_rounds() {
     if (role_ != Role::leader || questions_.empty() || commit_ < term_start_) return;
     std::vector<std::uint64_t> rounds;
     for (const Member& member : members_) {
@@ -334,7 +334,7 @@
     std::erase_if(questions_, [&](const Question& q) { return q.round <= held; });
 }
 
-void Keeper::maybe_commit() {
+void RaftNode::maybe_commit() {
     if (role_ != Role::leader) return;
     std::vector<Index> matches;
     for (const Member& member : members_) {
@@ -353,7 +353,7 @@
 
 // ---- Messages --------------------------------------------------------------------------------------------
 
-bool Keeper::rolled_back(const Message& m) {
+bool RaftNode::rolled_back(const Message& m) {
     if (m.kind == Message::Kind::gone) return false;
     const auto at = seen_.find(m.from);
     if (at == seen_.end()) {
@@ -385,7 +385,7 @@
     return false;
 }
 
-void Keeper::heard(Millis now, const Message& m) {
+void RaftNode::on_message(Millis now, const Message& m) {
     now_ = now;
     if (retired_) return;
     if (m.fleet != settings_.fleet || m.from == id_ || m.from == kNobody ||
@@ -454,7 +454,7 @@
 }
 
 // What a leader's message is answered with; none: it was no leader's any more, and has been told so.
-std::optional<Message> Keeper::hear_leader(Millis now, const Message& m) {
+std::optional<Message> RaftNode::hear_leader(Millis now, const Message& m) {
     Message answer = reply(Message::Kind::appended, m);
     answer.round = m.round;
     if (m.term < term_) {
@@ -468,7 +468,7 @@
     return answer;
 }
 
-void Keeper::on_append(Millis now, const Message& m) {
+void RaftNode::on_append(Millis now, const Message& m) {
     auto heard = hear_leader(now, m);
     if (!heard) return;
     Message& answer = *heard;
@@ -502,7 +502,7 @@
     out_.push_back(std::move(answer));
 }
 
-void Keeper::on_snapshot(Millis now, const Message& m) {
+void RaftNode::on_snapshot(Millis now, const Message& m) {
     auto heard = hear_leader(now, m);
     if (!heard) return;
     Message& answer = *heard;
@@ -527,7 +527,7 @@
     out_.push_back(std::move(answer));
 }
 
-void Keeper::on_appended(Millis now, const Message& m) {
+void RaftNode::on_appended(Millis now, const Message& m) {
     if (m.term > term_) return follow(now, m.term, kNobody);
     if (role_ != Role::leader || m.term != term_) return;
     const auto at = peers_.find(m.from);
@@ -568,19 +568,19 @@
 
 // ---- Members ---------------------------------------------------------------------------------------------
 
-void Keeper::on_join(Millis now, const Message& m) {
+void RaftNode::on_join(Millis now, const Message& m) {
     if (role_ != Role::leader || m.number >= settings_.keepers) return;
     const Member* known = find(m.from);
     if (known) return;
     joiners_[m.number] = {m.from, now};
 }
 
-void Keeper::change(Millis now, const Members& to) {
+void RaftNode::change(Millis now, const Members& to) {
     append({term_, Entry::Kind::members, encode(to)});
     broadcast(now);
 }
 
-void Keeper::look_after_members(Millis now) {
+void RaftNode::look_after_members(Millis now) {
     if (!leads() || changing()) return;
     for (const Member& member : members_) {
         const auto peer = peers_.find(member.id);
@@ -611,7 +611,7 @@
     }
 }
 
-bool Keeper::remove(std::uint32_t number) {
+bool RaftNode::remove(std::uint32_t number) {
     if (!leads() || changing() || retired_) return false;
     Members to = members_;
     const auto at = std::find_if(to.begin(), to.end(), [&](const Member& m) { return m.number == number; });
@@ -623,7 +623,7 @@
 
 // ---- What is to be done ----------------------------------------------------------------------------------
 
-void Keeper::compact(Index index, std::string data) {
+void RaftNode::compact(Index index, std::string data) {
     if (index <= snapshot_.index || index > applied_) return;
     Snapshot s;
     s.index = index;
@@ -644,7 +644,7 @@
     members_at_ = std::max(members_at_, snapshot_.index);
 }
 
-bool Keeper::ready() const {
+bool RaftNode::has_ready() const {
     if (taken_) return false;
     if (round_wanted_ && role_ == Role::leader) {
         // The next round begins when the last has come back, or with the heartbeat.
@@ -656,7 +656,7 @@
            restored_ || !confirmed_.empty() || (retired_ && !retired_told_);
 }
 
-Ready Keeper::take() {
+Ready RaftNode::take_ready() {
     if (round_wanted_ && role_ == Role::leader) {
         bool back = majority() == 1;
         for (const auto& [id, peer] : peers_) back = back || (voter(id) && peer.round >= round_);
@@ -689,11 +689,11 @@
     return ready;
 }
 
-void Keeper::stored() {
+void RaftNode::persisted() {
     taken_ = false;
     kept_ = std::min(keeping_to_, last());
     if (role_ == Role::leader) maybe_commit();
     if (retired_) out_.clear();
 }
 
-}  // namespace cobaltshift::agree
+}  // namespace cobaltshift::raft
--- a/src/agree/keeper.hpp
+++ b/src/raft/raft_node.hpp
@@ -1,5 +1,5 @@
 // One of the few keepers that agree on a log: Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum
-// and one change of members at a time. Entry type of the package: Keeper. Called by lease::Office, in the
+// and one change of members at a time. Entry type of the package: RaftNode. Called by lease::Office, in the
 // program and in the world alike; free of I/O. docs/design/agree.md.
 //
 // Events go in with their time: heard(), tick(), propose(), confirm(). After each, while ready(): take() what
@@ -20,14 +20,14 @@
 #include <optional>
 #include <stdexcept>
 
-#include "agree/types.hpp"
+#include "raft/types.hpp"
 #include "random.hpp"
 
 namespace cobaltshift::check {
 struct Describe;  // of the explicit-state checker (sim/check): reads all that a core knows
 }
 
-namespace cobaltshift::agree {
+namespace cobaltshift::raft {
 
 // What can't be if everybody keeps to the protocol: the keeper must stop, and say so.
 struct Broken : std::logic_error {
@@ -68,17 +68,17 @@
     bool retired = false;  // this life is over: the folder is to be emptied, and a new life begun
 };
 
-class Keeper {
+class RaftNode {
 public:
     enum class Role { follower, prevoting, candidate, leader };
 
     // `stored` with an id; `draw` is any number that no other run drew. Throws Broken if the log makes no
     // sense.
-    Keeper(const Settings& settings, Stored stored, Millis now, std::uint64_t draw);
+    RaftNode(const Settings& settings, Stored stored, Millis now, std::uint64_t draw);
 
     void tick(Millis now);
     Millis due() const;  // of the next tick
-    void heard(Millis now, const Message& message);
+    void on_message(Millis now, const Message& message);
 
     // For the leader only. The index it will have if it is ever committed; none: not the leader, or too long.
     std::optional<Index> propose(std::string data);
@@ -91,20 +91,20 @@
     // All up to `index` is in `data`, which the caller has applied.
     void compact(Index index, std::string data);
 
-    bool ready() const;
-    Ready take();
-    void stored();
+    bool has_ready() const;
+    Ready take_ready();
+    void persisted();
 
-    KeeperId id() const { return id_; }
+    MemberId id() const { return id_; }
     const Run& run() const { return run_; }
     Role role() const { return role_; }
     Term term() const { return term_; }
-    KeeperId voted() const { return voted_; }
+    MemberId voted() const { return voted_; }
     const Snapshot& snapshot() const { return snapshot_; }
     const std::vector<Entry>& log() const { return log_; }  // from first() on
     // Leads, and all that earlier terms committed is committed here.
     bool leads() const { return role_ == Role::leader && commit_ >= term_start_; }
-    KeeperId leader() const { return leader_; }
+    MemberId leader() const { return leader_; }
     std::optional<std::uint32_t> leader_number() const;
     Index commit() const { return commit_; }
     Index last() const { return snapshot_.index + log_.size(); }
@@ -122,7 +122,7 @@
         bool active = false;             // heard in this term
         std::uint64_t match_starts = 0;  // the run that told of `match`
     };
-    const std::map<KeeperId, Peer>& peers() const { return peers_; }
+    const std::map<MemberId, Peer>& peers() const { return peers_; }
 
     struct Counts {
         std::uint64_t elections = 0, led = 0, dropped = 0, snapshots_sent = 0, rolled_back = 0;
@@ -138,8 +138,8 @@
     struct Question {
         std::uint64_t number, round;
     };
-    const Member* find(KeeperId id) const;
-    bool voter(KeeperId id) const;
+    const Member* find(MemberId id) const;
+    bool voter(MemberId id) const;
     std::size_t majority() const;
     Term term_at(Index index) const;  // of snapshot_.index to last()
     Entry& at(Index index) { return log_[index - first()]; }
@@ -149,13 +149,13 @@
     void append(Entry entry);
     void truncate(Index from);
     void read_members();  // the newest in the log
-    void follow(Millis now, Term term, KeeperId leader);
+    void follow(Millis now, Term term, MemberId leader);
     void set_election(Millis now);
     void stand(Millis now, bool for_real);
     void count_votes(Millis now);
     void lead(Millis now);
     void broadcast(Millis now, bool again = false);  // `again`: what got no word since the last heartbeat
-    void send_entries(KeeperId to, bool even_if_empty);
+    void send_entries(MemberId to, bool even_if_empty);
     std::optional<Message> hear_leader(Millis now, const Message& m);
     void on_append(Millis now, const Message& m);
     void on_snapshot(Millis now, const Message& m);
@@ -166,15 +166,15 @@
     void look_at_rounds();
     void change(Millis now, const Members& to);
     void look_after_members(Millis now);
-    Message message(Message::Kind kind, KeeperId to) const;
+    Message message(Message::Kind kind, MemberId to) const;
     Message reply(Message::Kind kind, const Message& to) const;
 
     Settings settings_;
-    const KeeperId id_;
+    const MemberId id_;
     const Run run_;
     kelplb::Random lots_;
     Term term_;
-    KeeperId voted_;
+    MemberId voted_;
     Snapshot snapshot_;
     std::vector<Entry> log_;  // from first() on
     Members members_;
@@ -186,13 +186,13 @@
          retired_ = false, retired_told_ = false;
 
     Role role_ = Role::follower;
-    KeeperId leader_ = kNobody;
+    MemberId leader_ = kNobody;
     Millis leader_heard_ = -1e18, election_due_ = 0, heartbeat_due_ = 0, join_due_ = 0, now_ = 0;
-    std::map<KeeperId, bool> votes_;
-    std::map<KeeperId, Peer> peers_;
-    std::map<KeeperId, Seen> seen_;  // bounded by what members and joiners there are
+    std::map<MemberId, bool> votes_;
+    std::map<MemberId, Peer> peers_;
+    std::map<MemberId, Seen> seen_;  // bounded by what members and joiners there are
     struct Joiner {
-        KeeperId id;
+        MemberId id;
         Millis heard;
     };
     std::map<std::uint32_t, Joiner> joiners_;
@@ -206,8 +206,8 @@
 };
 
 // What a founder's folder holds before its first start: all of `numbers` are members.
-Stored founded(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers);
+Stored bootstrap(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers);
 // What the folder of a later life holds, with an id drawn by the caller (kFirstDrawn or more).
-Stored newcomer(std::uint64_t fleet, KeeperId id);
+Stored newcomer(std::uint64_t fleet, MemberId id);
 
-}  // namespace cobaltshift::agree
+}  // namespace cobaltshift::raft
--- a/src/agree/types.hpp
+++ b/src/raft/types.hpp
@@ -1,4 +1,4 @@
-// What keepers agree on and what they say to one another. Entry type of the package: Keeper (keeper.hpp).
+// What keepers agree on and what they say to one another. Entry type of the package: RaftNode (keeper.hpp).
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace cobaltshift::agree {
+namespace cobaltshift::raft {
 
 using Millis = double;  // of the keeper's own steady clock; never compared with another's
 using Term = std::uint64_t;
@@ -15,14 +15,14 @@
 
 // Of one life of a keeper: a folder's. Founders have their number + 1, later lives a drawn one from
 // kFirstDrawn on. Whoever lost its folder is somebody else: it can't vote as the one it was.
-using KeeperId = std::uint64_t;
-constexpr KeeperId kNobody = 0, kFirstDrawn = 1ULL << 32;
+using MemberId = std::uint64_t;
+constexpr MemberId kNobody = 0, kFirstDrawn = 1ULL << 32;
 
 constexpr std::size_t kMaxMembers = 9, kMaxEntryBytes = 1024 * 1024, kMaxSnapshotBytes = 8 * 1024 * 1024,
                       kMaxEntriesInMessage = 4096, kMaxMessageBytes = kMaxSnapshotBytes + 64 * 1024;
 
 struct Member {
-    KeeperId id = kNobody;
+    MemberId id = kNobody;
     std::uint32_t number = 0;  // its place in everybody's settings
     bool voter = true;         // else it is catching up
     bool operator==(const Member&) const = default;
@@ -66,7 +66,7 @@
     };
     Kind kind = Kind::append;
     std::uint64_t fleet = 0;  // messages of another fleet are dropped
-    KeeperId from = kNobody, to = kNobody;
+    MemberId from = kNobody, to = kNobody;
     std::uint32_t number = 0;     // the sender's
     std::uint32_t to_number = 0;  // the receiver's place: for whoever carries it, not on the wire
     Run run;                      // the sender's; of `gone`: the receiver's
@@ -82,12 +82,12 @@
 // What a keeper's folder holds.
 struct Stored {
     std::uint64_t fleet = 0;
-    KeeperId id = kNobody;
+    MemberId id = kNobody;
     std::uint64_t starts = 0;
     Term term = 0;
-    KeeperId voted = kNobody;
+    MemberId voted = kNobody;
     Snapshot snapshot;
     std::vector<Entry> entries;  // from snapshot.index + 1 on
 };
 
-}  // namespace cobaltshift::agree
+}  // namespace cobaltshift::raft
--- a/src/yard/records.hpp
+++ b/src/registry/records.hpp
@@ -1,18 +1,18 @@
-// What sidecars and hubs know of one another: one record a node, told by that node alone. Used by yard,
-// telegraph, watch and by the guard. Free of I/O.
+// What sidecars and hubs know of one another: one record a node, told by that node alone. Used by registry,
+// gossip, watch and by the proxy. Free of I/O.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
 
-namespace cobaltshift::yard {
+namespace cobaltshift::registry {
 
 using Millis = double;  // of the own steady clock, from any origin; never compared with another machine's
 
-enum class NodeRole : std::uint8_t { guard, hub };  // sidecar; machine of the core
+enum class NodeRole : std::uint8_t { proxy, hub };  // sidecar; machine of the core
 
-// The application server beside a guard, as it said in its newest beat.
+// The application server beside a proxy, as it said in its newest beat.
 struct ServerRecord {
     std::string life;  // instance_id
     std::string service, edition;
@@ -26,14 +26,14 @@
 
 struct NodeRecord {
     std::uint32_t ip = 0;    // IPv4 in host order: the node's name
-    std::uint64_t life = 0;  // of its processes: a drawn number that rises (see news_io), newer beats older
+    std::uint64_t life = 0;  // of its processes: a drawn number that rises (see gossip_io), newer beats older
     std::uint64_t seq = 0;   // of the record within the life; newer beats older
-    NodeRole role = NodeRole::guard;
+    NodeRole role = NodeRole::proxy;
     std::string zone;
-    std::uint16_t traffic_port = 0;  // where a guard takes requests for the server beside it
-    bool ready = false;              // a guard that takes requests for its server
-    bool leaving = false;            // got SIGTERM
-    std::uint64_t timetable = 0;     // newest version that it holds
+    std::uint16_t traffic_port = 0;    // where a proxy takes requests for the server beside it
+    bool ready = false;                // a proxy that takes requests for its server
+    bool leaving = false;              // got SIGTERM
+    std::uint64_t config_edition = 0;  // newest version that it holds
     std::optional<ServerRecord> server;
     bool operator==(const NodeRecord&) const = default;
 };
@@ -42,4 +42,4 @@
 // then.
 enum class Standing : std::uint8_t { alive, suspect, gone };
 
-}  // namespace cobaltshift::yard
+}  // namespace cobaltshift::registry
--- a/src/yard/yard.cpp
+++ b/src/registry/registry.cpp
@@ -1,10 +1,10 @@
-#include "yard/yard.hpp"
+#include "registry/registry.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace cobaltshift::yard {
+namespace cobaltshift::registry {
 
 namespace {
 std::uint64_t hash_of(const NodeRecord& record) {
@@ -25,27 +25,27 @@
     return left == b;
 }
 
-std::size_t Yard::range_of(std::uint32_t ip) { return XXH3_64bits(&ip, sizeof ip) % kRanges; }
+std::size_t Registry::range_of(std::uint32_t ip) { return XXH3_64bits(&ip, sizeof ip) % kRanges; }
 
-std::vector<Entry>::iterator Yard::at(std::uint32_t ip) {
+std::vector<Entry>::iterator Registry::at(std::uint32_t ip) {
     return std::lower_bound(
         entries_.begin(), entries_.end(), ip,
         [](const Entry& entry, std::uint32_t wanted) { return entry.record.ip < wanted; });
 }
 
-const Entry* Yard::find(std::uint32_t ip) const {
-    const auto found = const_cast<Yard*>(this)->at(ip);
+const Entry* Registry::find(std::uint32_t ip) const {
+    const auto found = const_cast<Registry*>(this)->at(ip);
     return found == entries_.end() || found->record.ip != ip ? nullptr : &*found;
 }
 
-void Yard::fold(const Entry& entry) {
+void Registry::fold(const Entry& entry) {
     if (entry.standing == Standing::gone) return;
     const std::uint64_t hash = hash_of(entry.record);
     digest_ ^= hash;
     ranges_[range_of(entry.record.ip)] ^= static_cast<std::uint32_t>(hash);
 }
 
-bool Yard::make_room() {
+bool Registry::make_room() {
     if (entries_.size() < kMostNodes) return true;
     auto oldest = entries_.end();
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry)
@@ -57,7 +57,7 @@
     return true;
 }
 
-Yard::Merge Yard::take(Millis now, const NodeRecord& record) {
+Registry::Merge Registry::take(Millis now, const NodeRecord& record) {
     auto entry = at(record.ip);
     if (entry == entries_.end() || entry->record.ip != record.ip) {
         if (!make_room()) return {};
@@ -75,7 +75,7 @@
     return {Taken::newer, changed};
 }
 
-bool Yard::stand(Millis now, std::uint32_t ip, Standing standing) {
+bool Registry::stand(Millis now, std::uint32_t ip, Standing standing) {
     const auto entry = at(ip);
     if (entry == entries_.end() || entry->record.ip != ip || entry->standing == standing) return false;
     fold(*entry);
@@ -85,7 +85,7 @@
     return true;
 }
 
-bool Yard::bury(Millis now, const Key& key) {
+bool Registry::bury(Millis now, const Key& key) {
     const auto entry = at(key.ip);
     if (entry == entries_.end() || entry->record.ip != key.ip) return false;
     const bool changed = stand(now, key.ip, Standing::gone);
@@ -96,14 +96,14 @@
     return changed;
 }
 
-void Yard::drop(std::uint32_t ip) {
+void Registry::drop(std::uint32_t ip) {
     const auto entry = at(ip);
     if (entry == entries_.end() || entry->record.ip != ip) return;
     fold(*entry);
     entries_.erase(entry);
 }
 
-std::vector<std::uint32_t> Yard::forget(Millis now) {
+std::vector<std::uint32_t> Registry::forget(Millis now) {
     std::vector<std::uint32_t> forgotten;
     std::erase_if(entries_, [&](const Entry& entry) {
         const bool old = entry.standing == Standing::gone && now - entry.gone_at >= kGoneKept;
@@ -113,7 +113,7 @@
     return forgotten;
 }
 
-NodeRecord Yard::handed_on(Millis now, const Entry& entry) {
+NodeRecord Registry::handed_on(Millis now, const Entry& entry) {
     NodeRecord record = entry.record;
     if (record.server)
         record.server->warmup_left_s =
@@ -121,4 +121,4 @@
     return record;
 }
 
-}  // namespace cobaltshift::yard
+}  // namespace cobaltshift::registry
--- a/src/yard/yard.hpp
+++ b/src/registry/registry.hpp
@@ -1,6 +1,6 @@
-// The table of all nodes that one node knows (the yard: registry of servers and guards), and digests over it
-// by which two copies find where they differ (anti-entropy over hash ranges, a Merkle tree of two levels:
-// Demers et al. 1987). Entry type: Yard. Called by telegraph's Station. Free of I/O.
+// The table of all nodes that one node knows (the registry: registry of servers and proxies), and digests
+// over it by which two copies find where they differ (anti-entropy over hash ranges, a Merkle tree of two
+// levels: Demers et al. 1987). Entry type: Registry. Called by gossip's Gossip. Free of I/O.
 //
 // Invariants:
 // - Of a node the record of the highest (life, seq) is held; an older one changes nothing.
@@ -12,9 +12,9 @@
 #include <cstddef>
 #include <vector>
 
-#include "yard/records.hpp"
+#include "registry/records.hpp"
 
-namespace cobaltshift::yard {
+namespace cobaltshift::registry {
 
 constexpr std::size_t kMostNodes = 4096, kRanges = 64;
 constexpr Millis kGoneKept = 60'000;
@@ -44,7 +44,7 @@
     Key key() const { return {record.ip, record.life, record.seq, standing}; }
 };
 
-class Yard {
+class Registry {
 public:
     enum class Taken { refused, older, same, newer };
     struct Merge {
@@ -86,4 +86,4 @@
 // of a warm-up that both have or both have not.
 bool same_content(const NodeRecord& a, const NodeRecord& b);
 
-}  // namespace cobaltshift::yard
+}  // namespace cobaltshift::registry
--- a/src/settings_file/settings_file.cpp
+++ b/src/settings_file/settings_file.cpp
@@ -12,7 +12,7 @@
 void read_keeper(Section& root, ProgramSettings& settings) {
     const auto& all = settings.keepers.keepers;
     lease::KeeperSettings& s = settings.keeper.emplace();
-    agree::Settings& agreement = s.office.agree;
+    raft::Settings& agreement = s.office.agree;
     Section keeper = root.section("keeper");
     if (all.size() % 2 == 0) keeper.wrong("number", "needs an odd count of keepers.addresses, 3 or 5 best");
     keeper.need("number");
@@ -146,7 +146,7 @@
         planner.done();
     }
     Section keepers = root.section("keepers");
-    keepers.endpoints("addresses", settings.keepers.keepers, agree::kMaxMembers);
+    keepers.endpoints("addresses", settings.keepers.keepers, raft::kMaxMembers);
     keepers.number("margin_ms", settings.keepers.margin, 1, 60000);
     keepers.text("secret_file", settings.keepers.secret_file);
     keepers.done();
--- a/src/sim/check/describe.cpp
+++ b/src/sim/check/describe.cpp
@@ -4,7 +4,7 @@
 
 #include <cmath>
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 
 namespace cobaltshift::check {
 
@@ -12,12 +12,12 @@
 
 class Sum {
 public:
-    explicit Sum(agree::Millis now) : now_(now) { XXH3_64bits_reset(&state_); }
+    explicit Sum(raft::Millis now) : now_(now) { XXH3_64bits_reset(&state_); }
     Sum& number(std::uint64_t value) {
         XXH3_64bits_update(&state_, &value, sizeof value);
         return *this;
     }
-    Sum& time(agree::Millis at) {
+    Sum& time(raft::Millis at) {
         const double left = at - now_;
         // To a microsecond; what is years off is all the same.
         return number(std::abs(left) > 1e9 ? (left > 0 ? ~0ULL : ~1ULL)
@@ -32,17 +32,17 @@
 
 private:
     XXH3_state_t state_;
-    agree::Millis now_;
+    raft::Millis now_;
 };
 
 }  // namespace
 
-std::uint64_t Describe::of(const agree::Keeper& k, agree::Millis now) {
+std::uint64_t Describe::of(const raft::RaftNode& k, raft::Millis now) {
     Sum s(now);
     s.number(k.id_).number(k.run_.starts).number(k.run_.draw).lots(k.lots_).number(k.term_).number(k.voted_);
-    s.text(agree::encode(k.snapshot_));
-    for (const agree::Entry& entry : k.log_) s.text(agree::encode(entry));
-    s.text(agree::encode(k.members_))
+    s.text(raft::encode(k.snapshot_));
+    for (const raft::Entry& entry : k.log_) s.text(raft::encode(entry));
+    s.text(raft::encode(k.members_))
         .number(k.members_at_)
         .number(k.commit_)
         .number(k.applied_)
@@ -74,7 +74,7 @@
     return s.get();
 }
 
-std::uint64_t Describe::of(const lease::Office& o, agree::Millis now) {
+std::uint64_t Describe::of(const lease::Office& o, raft::Millis now) {
     Sum s(now);
     s.number(of(o.keeper_, now)).text(o.book_.save()).number(o.applied_).number(o.leads_).number(o.led_term_);
     for (const auto& [task, held] : o.held_)
@@ -93,7 +93,7 @@
     return s.get();
 }
 
-std::uint64_t Describe::of(const lease::Holder& h, agree::Millis now) {
+std::uint64_t Describe::of(const lease::Holder& h, raft::Millis now) {
     Sum s(now);
     s.lots(h.lots_).number(h.keeper_).number(h.next_number_);
     for (const auto& [task, w] : h.wanted_)
@@ -116,13 +116,13 @@
     return s.get();
 }
 
-agree::Millis Describe::asked_at(const lease::Holder& holder, const std::string& task, std::uint64_t number,
-                                 agree::Millis otherwise) {
+raft::Millis Describe::asked_at(const lease::Holder& holder, const std::string& task, std::uint64_t number,
+                                raft::Millis otherwise) {
     const auto at = holder.wanted_.find(task);
     return at == holder.wanted_.end() || at->second.number != number ? otherwise : at->second.asked_at;
 }
 
-void Describe::forget_waits(lease::Office& office, agree::Millis now) {
+void Describe::forget_waits(lease::Office& office, raft::Millis now) {
     for (auto& [task, held] : office.held_) {
         office.lapses_.erase({held.until, task});
         held.until = now;
--- a/src/sim/check/lease_check.cpp
+++ b/src/sim/check/lease_check.cpp
@@ -10,18 +10,18 @@
 #include <unordered_map>
 #include <utility>
 
-#include "agree/codec.hpp"
 #include "lease/codec.hpp"
 #include "lease/gate.hpp"
 #include "lease/holder.hpp"
 #include "lease/office.hpp"
+#include "raft/codec.hpp"
 #include "sim/check/describe.hpp"
 
 namespace cobaltshift::check {
 
 namespace {
 
-using agree::Millis;
+using raft::Millis;
 using Guard = LeaseCheck::Guard;
 
 constexpr std::size_t kKeepers = 3, kHolders = 2;
@@ -59,7 +59,7 @@
             // At both ends of what clocks may do: keepers fast, so that they wait too short, holders slow.
             rate_[k] = 1 + kOff;
             disks_[k] =
-                std::make_shared<agree::Stored>(agree::founded(7, static_cast<std::uint32_t>(k), kKeepers));
+                std::make_shared<raft::Stored>(raft::bootstrap(7, static_cast<std::uint32_t>(k), kKeepers));
             boot(k);
         }
         for (std::size_t h = 0; h < kHolders; ++h) {
@@ -110,7 +110,7 @@
             } else {
                 pass_time();
             }
-        } catch (const agree::Broken& fault) {
+        } catch (const raft::Broken& fault) {
             broken(fault.what());
         }
         look();
@@ -190,10 +190,10 @@
                 if (described_[k] == 0) described_[k] = Describe::of(*offices_[k], clock(k));
                 sum.push_back(described_[k]);
             } else {
-                const std::string bytes = agree::encode(disks_[k]->snapshot);
+                const std::string bytes = raft::encode(disks_[k]->snapshot);
                 std::uint64_t disk = XXH3_64bits(bytes.data(), bytes.size());
-                for (const agree::Entry& entry : disks_[k]->entries) {
-                    const std::string data = agree::encode(entry);
+                for (const raft::Entry& entry : disks_[k]->entries) {
+                    const std::string data = raft::encode(entry);
                     disk = disk * 31 + XXH3_64bits(data.data(), data.size());
                 }
                 sum.insert(sum.end(),
@@ -243,7 +243,7 @@
     // ---- Processes ---------------------------------------------------------------------------------------
 
     void boot(std::size_t k) {
-        agree::Stored& disk = own(disks_[k]);
+        raft::Stored& disk = own(disks_[k]);
         ++disk.starts;
         lease::OfficeSettings s;
         s.agree.fleet = 7;
@@ -273,8 +273,8 @@
         try {
             while (office.ready()) {
                 lease::Office::Output output = office.take(clock(k));
-                const agree::Ready& ready = output.ready;
-                agree::Stored& disk = own(disks_[k]);
+                const raft::Ready& ready = output.ready;
+                raft::Stored& disk = own(disks_[k]);
                 if (ready.vote && what_.out != Guard::vote_not_written)
                     disk.term = ready.vote->term, disk.voted = ready.vote->voted;
                 if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
@@ -285,19 +285,18 @@
                 // A log's terms are its keeper's at least, also where its vote is not written.
                 if (!disk.entries.empty()) disk.term = std::max(disk.term, disk.entries.back().term);
                 if (ready.retired) {
-                    disk = agree::newcomer(7, agree::kFirstDrawn + 100 * k + disk.starts);
+                    disk = raft::newcomer(7, raft::kFirstDrawn + 100 * k + disk.starts);
                     return die(k);
                 }
                 office.stored();
                 if (office.keeper().leads() && office.applied() == office.keeper().commit() &&
                     led_[k] != office.keeper().term())
                     leads(k, office);
-                for (const agree::Committed& one : ready.committed) applied(one);
-                for (const agree::Message& message : ready.messages) {
-                    const auto bytes = std::make_shared<const std::string>(agree::encode(message));
+                for (const raft::Committed& one : ready.committed) applied(one);
+                for (const raft::Message& message : ready.messages) {
+                    const auto bytes = std::make_shared<const std::string>(raft::encode(message));
                     for (std::size_t to = 0; to < kKeepers; ++to)
-                        if (to != k &&
-                            (message.kind == agree::Message::Kind::join || to == message.to_number))
+                        if (to != k && (message.kind == raft::Message::Kind::join || to == message.to_number))
                             send({k, to, bytes, Flight::Kind::message, 0});
                 }
                 for (const auto& reply : output.replies)
@@ -305,7 +304,7 @@
                           std::make_shared<const std::string>(lease::encode(reply.answer)),
                           Flight::Kind::answer, 0});
             }
-        } catch (const agree::Broken& fault) {
+        } catch (const raft::Broken& fault) {
             broken(name(k) + ": " + fault.what());
         }
     }
@@ -316,8 +315,8 @@
         const auto [at, first] = leaders_.try_emplace(office.keeper().term(), office.keeper().id());
         if (!first && at->second != office.keeper().id()) broken("two leaders in one term");
     }
-    void applied(const agree::Committed& one) {
-        const std::string bytes = agree::encode(one.entry);
+    void applied(const raft::Committed& one) {
+        const std::string bytes = raft::encode(one.entry);
         const std::uint64_t sum = XXH3_64bits(bytes.data(), bytes.size());
         const auto [at, first] = log_.try_emplace(one.index, sum);
         if (!first && at->second != sum) broken("two entries were applied in one place");
@@ -358,7 +357,7 @@
             if (!offices_[k]) return;
             lease::Office& office = own(offices_[k]);
             if (flight.kind == Flight::Kind::message) {
-                if (const auto message = agree::decode_message(*flight.bytes, why))
+                if (const auto message = raft::decode_message(*flight.bytes, why))
                     office.heard(clock(k), *message);
             } else if (const auto question = lease::decode_question(*flight.bytes, why)) {
                 office.asked(clock(k), flight.from, *question);
@@ -442,11 +441,11 @@
     unsigned left_;
     Millis now_ = 0, end_ = 0;
     std::array<double, kKeepers + kHolders> rate_{};
-    std::array<std::shared_ptr<agree::Stored>, kKeepers> disks_;
+    std::array<std::shared_ptr<raft::Stored>, kKeepers> disks_;
     std::array<std::shared_ptr<lease::Office>, kKeepers> offices_;
     std::array<std::shared_ptr<lease::Holder>, kHolders> holders_;
     mutable std::array<std::uint64_t, kKeepers> described_{};  // 0: to be made anew
-    std::array<agree::Term, kKeepers> led_{};                  // of which it is known that it leads
+    std::array<raft::Term, kKeepers> led_{};                   // of which it is known that it leads
     std::array<Millis, kKeepers> back_{};
     std::array<Millis, kHolders> stopped_{};
     std::array<lease::Fence, kHolders> act_{}, held_{};
@@ -456,8 +455,8 @@
     lease::Gate gate_;
     lease::Fence highest_ = 0;
     std::uint64_t stale_ = 0;
-    std::map<agree::Term, agree::KeeperId> leaders_;
-    std::map<agree::Index, std::uint64_t> log_;
+    std::map<raft::Term, raft::MemberId> leaders_;
+    std::map<raft::Index, std::uint64_t> log_;
     std::shared_ptr<const Note> notes_;
     std::string broken_;
 };
--- a/src/sim/checkers/agreement.cpp
+++ b/src/sim/checkers/agreement.cpp
@@ -40,8 +40,8 @@
 private:
     static constexpr const char* kName = "agreement";
     Scene& scene_;
-    std::map<agree::Index, std::uint64_t> entries_, books_;
-    std::map<agree::Term, agree::KeeperId> leaders_;
+    std::map<raft::Index, std::uint64_t> entries_, books_;
+    std::map<raft::Term, raft::MemberId> leaders_;
 };
 
 const Registered kChecker =
--- a/src/sim/faults/lease.cpp
+++ b/src/sim/faults/lease.cpp
@@ -41,7 +41,7 @@
 const Registered kLeaderDown = Registered::fault("leader-down", [](Scene& scene, const Fault& fault) {
     scene.kernel.at(fault.at, [&scene, fault] {
         for (KeeperDesk* desk : scene.all<KeeperDesk>()) {
-            if (!desk->office() || desk->office()->keeper().role() != agree::Keeper::Role::leader) continue;
+            if (!desk->office() || desk->office()->keeper().role() != raft::RaftNode::Role::leader) continue;
             struck(scene, "leader down");
             desk->stop();
             desk->disk().crash();
--- a/src/sim/lease_facts.hpp
+++ b/src/sim/lease_facts.hpp
@@ -18,13 +18,13 @@
 };
 struct Led {
     Node keeper;
-    agree::KeeperId id;
-    agree::Term term;
+    raft::MemberId id;
+    raft::Term term;
     std::string text() const { return keeper_name(keeper) + " leads in term " + std::to_string(term); }
 };
 struct Agreed {  // has applied this entry
     Node keeper;
-    agree::Index index;
+    raft::Index index;
     std::uint64_t hash;
     std::string text() const {
         return keeper_name(keeper) + " applies entry " + std::to_string(index) + " " + std::to_string(hash);
@@ -32,7 +32,7 @@
 };
 struct BookAt {  // after all up to index
     Node keeper;
-    agree::Index index;
+    raft::Index index;
     std::uint64_t digest;
     std::string text() const { return keeper_name(keeper) + " is at entry " + std::to_string(index); }
 };
--- a/src/sim/models/keeper.cpp
+++ b/src/sim/models/keeper.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "agree/codec.hpp"
 #include "lease/codec.hpp"
+#include "raft/codec.hpp"
 #include "store/journal.hpp"
 
 namespace cobaltshift::sim {
@@ -49,15 +49,15 @@
 
 void KeeperDesk::start() {
     disk_.write(kFile, store::records_of(
-                           agree::founded(kFleet, static_cast<std::uint32_t>(number_), settings_.keepers)));
+                           raft::bootstrap(kFleet, static_cast<std::uint32_t>(number_), settings_.keepers)));
     disk_.sync(kFile);
     disk_.sync_names();
     boot();
 }
 
 void KeeperDesk::newcomer() {
-    const agree::KeeperId id = agree::kFirstDrawn + lots_.below(1ULL << 60);
-    disk_.write("new", store::records_of(agree::newcomer(kFleet, id)));
+    const raft::MemberId id = raft::kFirstDrawn + lots_.below(1ULL << 60);
+    disk_.write("new", store::records_of(raft::newcomer(kFleet, id)));
     disk_.sync("new");
     disk_.rename("new", kFile);
     disk_.sync_names();
@@ -135,11 +135,11 @@
     for (const KeeperDesk* desk : scene_.all<KeeperDesk>()) {
         if (desk->number_ == number_) continue;
         if (!desk->office() || desk->office()->keeper().retired()) return false;
-        const agree::Keeper& keeper = desk->office()->keeper();
+        const raft::RaftNode& keeper = desk->office()->keeper();
         if (keeper.last() < leader->keeper().commit() || keeper.term() != leader->keeper().term())
             return false;
         bool votes = false;
-        for (const agree::Member& member : leader->keeper().members())
+        for (const raft::Member& member : leader->keeper().members())
             votes = votes || (member.id == keeper.id() && member.voter);
         if (!votes) return false;
     }
@@ -168,7 +168,7 @@
             next();
         }
         if (life_ == life && !busy_ && !paused_) pump();
-    } catch (const agree::Broken& fault) {
+    } catch (const raft::Broken& fault) {
         scene_.broken("agreement", keeper_name(number_) + ": " + fault.what(), keeper_name(number_));
         stop();
     }
@@ -177,7 +177,7 @@
 void KeeperDesk::arrived(const std::string& bytes) {
     later([this, bytes] {
         std::string why;
-        const auto message = agree::decode_message(bytes, why);
+        const auto message = raft::decode_message(bytes, why);
         if (!message) {
             scene_.figure("messages refused") += 1;
             return;
@@ -201,10 +201,10 @@
 }
 
 bool KeeperDesk::persist(const lease::Office::Output& output) {
-    const agree::Ready& ready = output.ready;
+    const raft::Ready& ready = output.ready;
     if (!ready.writes()) return true;
     if (ready.snapshot) {
-        agree::Stored all = head_;
+        raft::Stored all = head_;
         all.term = office_->keeper().term();
         all.voted = office_->keeper().voted();
         all.snapshot = *ready.snapshot;
@@ -261,8 +261,8 @@
 
 void KeeperDesk::finish(lease::Office::Output output) {
     office_->stored();
-    for (const agree::Committed& one : output.ready.committed) {
-        const std::string bytes = agree::encode(one.entry);
+    for (const raft::Committed& one : output.ready.committed) {
+        const std::string bytes = raft::encode(one.entry);
         scene_.bus.tell(Agreed{number_, one.index, XXH3_64bits(bytes.data(), bytes.size())});
     }
     if (!output.ready.committed.empty() || output.ready.restored)
@@ -270,11 +270,11 @@
     const bool leads = office_->keeper().leads();
     if (leads && !leads_) scene_.bus.tell(Led{number_, office_->keeper().id(), office_->keeper().term()});
     leads_ = leads;
-    for (const agree::Message& message : output.ready.messages) {
-        const std::string bytes = agree::encode(message);
+    for (const raft::Message& message : output.ready.messages) {
+        const std::string bytes = raft::encode(message);
         for (KeeperDesk* desk : scene_.all<KeeperDesk>()) {
             if (desk->number_ == number_) continue;
-            if (message.kind != agree::Message::Kind::join && desk->number_ != message.to_number) continue;
+            if (message.kind != raft::Message::Kind::join && desk->number_ != message.to_number) continue;
             scene_.network.send(endpoint_, desk->endpoint(), bytes,
                                 [desk](const std::string& arrives) { desk->arrived(arrives); });
         }
--- a/src/sim_mesh/clients.cpp
+++ b/src/sim_mesh/clients.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "sim_mesh/guard.hpp"
+#include "sim_mesh/proxy.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
@@ -30,9 +30,9 @@
 void Clients::poll() {
     for (const auto& [ip, machine] : world_.net.machines()) {
         if (machine.hub || ip == World::kOperator) continue;
-        const auto* guard = dynamic_cast<const Guard*>(world_.node(ip));
+        const auto* proxy = dynamic_cast<const Proxy*>(world_.node(ip));
         Platform& platform = platform_[ip];
-        const bool ready = guard && !machine.blocked() && guard->ready();
+        const bool ready = proxy && !machine.blocked() && proxy->ready();
         platform.failures = ready ? 0 : platform.failures + 1;
         if (platform.failures == 0) platform.in = true;
         if (platform.failures >= 2) platform.in = false;
@@ -81,10 +81,10 @@
     world_.time.after(kHop, [this, id, ip = machine.ip, epoch = machine.epoch] {
         world_.net.in_process(ip, epoch, [this, id, ip] {
             const auto at = open_.find(id);
-            auto* guard = dynamic_cast<Guard*>(world_.node(ip));
-            if (at == open_.end() || !guard) return;
+            auto* proxy = dynamic_cast<Proxy*>(world_.node(ip));
+            if (at == open_.end() || !proxy) return;
             at->second.read = true;
-            at->second.number = guard->request(at->second.request, [this, id](const Answer& answer) {
+            at->second.number = proxy->request(at->second.request, [this, id](const Answer& answer) {
                 world_.time.after(kHop, [this, id, answer] { answered(id, answer); });
             });
         });
@@ -106,7 +106,7 @@
     const Machine& machine = world_.net.machine(one.request->origin);
     if (!one.read || !machine.running) return;
     world_.net.in_process(machine.ip, machine.epoch, [this, ip = machine.ip, number = one.number] {
-        if (auto* guard = dynamic_cast<Guard*>(world_.node(ip))) guard->client_gone(number);
+        if (auto* proxy = dynamic_cast<Proxy*>(world_.node(ip))) proxy->client_gone(number);
     });
 }
 
--- a/src/sim_mesh/clients.hpp
+++ b/src/sim_mesh/clients.hpp
@@ -1,6 +1,6 @@
-// Clients on the machines of guards: they send plain and registered requests through the guard beside them,
-// try again as PROTOCOL.md says, and count what is served; and the platform that asks guards whether they are
-// ready. Entry type: Clients. Called by World.
+// Clients on the machines of proxies: they send plain and registered requests through the proxy beside them,
+// try again as PROTOCOL.md says, and count what is served; and the platform that asks proxies whether they
+// are ready. Entry type: Clients. Called by World.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
     explicit Clients(World& world) : world_(world) { poll(); }
     // A second, from and to in ms.
     void traffic(double plain, double registered, Millis from, Millis to);
-    void process_ended(Ip ip);  // of a guard: its connections close
+    void process_ended(Ip ip);  // of a proxy: its connections close
     double sent() const { return sent_; }
     double served() const { return served_; }
     const std::map<unsigned, std::uint64_t>& statuses() const { return statuses_; }
@@ -26,7 +26,7 @@
         RequestPtr request;
         unsigned tries = 1;
         bool read = false;
-        std::uint64_t number = 0;  // at the guard
+        std::uint64_t number = 0;  // at the proxy
     };
     struct Platform {
         int failures = 0;
--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -37,20 +37,20 @@
 
     std::vector<Ip> targets(const Command& command) const {
         const std::string& word = command.words.at(0);
-        const std::vector<Ip> hubs = world_.hubs(), guards = world_.guard_ips();
+        const std::vector<Ip> hubs = world_.hubs(), proxies = world_.proxy_ips();
         const std::size_t number = static_cast<std::size_t>(command.which);
         std::vector<Ip> all;
         if (word == "leader" && leader_ != 0) return {leader_};
         if (word == "hubs") return hubs;
-        if (word == "guards") return guards;
-        if (word == "half") return {guards.begin(), guards.begin() + static_cast<long>(guards.size() / 2)};
+        if (word == "proxies") return proxies;
+        if (word == "half") return {proxies.begin(), proxies.begin() + static_cast<long>(proxies.size() / 2)};
         if (word == "others" || word == "follower")
             for (const Ip ip : hubs)
                 if (ip != leader_ && (word == "others" || all.empty())) all.push_back(ip);
         if (word == "hub" && number < hubs.size()) return {hubs[number]};
-        if (word == "guard" && number < guards.size()) return {guards[number]};
+        if (word == "proxy" && number < proxies.size()) return {proxies[number]};
         if (word == "service")
-            for (const Ip ip : guards)
+            for (const Ip ip : proxies)
                 if (world_.service_of(ip) == "s" + std::to_string(number)) all.push_back(ip);
         if (all.empty()) throw ScriptError(command.where + ": there is no " + word + " at this time");
         return all;
@@ -100,7 +100,7 @@
     void loss(double share, double lasts) {
         world_.net.loss = share;
         std::vector<Ip> all = world_.hubs();
-        for (const Ip ip : world_.guard_ips()) all.push_back(ip);
+        for (const Ip ip : world_.proxy_ips()) all.push_back(ip);
         for (const Ip ip : all) world_.trouble(ip, true);
         after(lasts, [this, all] {
             world_.net.loss = 0;
@@ -154,9 +154,9 @@
         const std::string from = c.has("from") ? c.options.at("from") : "all";
         const std::string way = c.has("one_way") ? c.options.at("one_way") : "both";
         std::vector<Ip> others;
-        if (from != "guards") others = world_.hubs();
+        if (from != "proxies") others = world_.hubs();
         if (from != "hubs")
-            for (const Ip other : world_.guard_ips()) others.push_back(other);
+            for (const Ip other : world_.proxy_ips()) others.push_back(other);
         std::erase(others, ip);
         const auto set = [this, ip, others, way](bool on) {
             for (const Ip other : others) {
@@ -170,12 +170,12 @@
 
     // ---- Servers
     void sigterm(Ip ip, double lasts, const std::string& service = "") {
-        auto* guard = dynamic_cast<Guard*>(world_.node(ip));
-        if (!guard) return;
+        auto* proxy = dynamic_cast<Proxy*>(world_.node(ip));
+        if (!proxy) return;
         world_.trouble(ip, true);
         const std::uint64_t epoch = world_.net.machine(ip).epoch;
-        world_.net.in_process(ip, epoch, [this, guard, ip, lasts, epoch, service] {
-            guard->stop([this, ip, lasts, epoch, service] {
+        world_.net.in_process(ip, epoch, [this, proxy, ip, lasts, epoch, service] {
+            proxy->stop([this, ip, lasts, epoch, service] {
                 if (world_.net.machine(ip).epoch == epoch && world_.node(ip)) world_.end(ip, false);
                 after(lasts, [this, ip, service] {
                     if (world_.node(ip)) world_.end(ip, false);  // a kill between had it started again
@@ -234,8 +234,8 @@
 
 }  // namespace
 
-Played play(const Scenario& scenario, const Guards& guards) {
-    World world(scenario.fleet, guards);
+Played play(const Scenario& scenario, const Safeguards& safeguards) {
+    World world(scenario.fleet, safeguards);
     Director director(world, scenario);
     const Millis end = kBegin + scenario.fleet.end, back = end + world.bounds.contact;
     world.time.at(end, [&] { world.operators.read_back(back); });
--- a/src/sim_mesh/facts.hpp
+++ b/src/sim_mesh/facts.hpp
@@ -1,5 +1,5 @@
-// What the parties of the world say to one another, the bounds of a site, and the guards that a test may take
-// out.
+// What the parties of the world say to one another, the bounds of a site, and the proxies that a test may
+// take out.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
+#include "config/configuration.hpp"
+#include "outcome/outcome.hpp"
 #include "sim_mesh/timeline.hpp"
-#include "timetable/timetable.hpp"
-#include "verdict/verdict.hpp"
 
 namespace cobaltshift::simmesh {
 
@@ -23,20 +23,20 @@
 };
 
 // Each keeps a promise; a test takes one out and sees the rule's checker speak.
-struct Guards {
-    bool closing_at_crossing = true;  // an acknowledged `closing` holds
-    bool once_at_crossing = true;     // an id runs once in a server's life
-    bool registered_once = true;      // the caller's side never repeats them
-    bool life_expected = true;        // crossing and server ask for the life that was meant
-    bool proof_of_refusal = true;     // 503 only for what has not run
-    bool caller_named = true;         // Caller is set
-    bool ids_compared = true;         // an answer of another id is none
-    bool budget = true;               // further tries are counted
-    bool commit_first = true;         // 200 after the commit
-    bool newer_only = true;           // a timetable that is older isn't taken
-    bool fetches = true;              // news of a timetable is followed
-    bool checks_changes = true;       // a hub judges a change
-    bool hears_beats = true;          // a guard that comes back finds its server again
+struct Safeguards {
+    bool closing_at_admission = true;  // an acknowledged `closing` holds
+    bool once_at_admission = true;     // an id runs once in a server's life
+    bool registered_once = true;       // the caller's side never repeats them
+    bool life_expected = true;         // admission and server ask for the life that was meant
+    bool proof_of_refusal = true;      // 503 only for what has not run
+    bool caller_named = true;          // Caller is set
+    bool ids_compared = true;          // an answer of another id is none
+    bool budget = true;                // further tries are counted
+    bool commit_first = true;          // 200 after the commit
+    bool newer_only = true;            // a configuration that is older isn't taken
+    bool fetches = true;               // news of a configuration is followed
+    bool checks_changes = true;        // a hub judges a change
+    bool hears_beats = true;           // a proxy that comes back finds its server again
 };
 
 // A request of a client: one try, with its own id.
@@ -56,17 +56,17 @@
     bool promises() const { return status == 429 || status == 503 || status == 408 || status == 421; }
 };
 
-// What a server or its guard says of a request that came over a hop.
+// What a server or its proxy says of a request that came over a hop.
 struct HopAnswer {
     std::optional<Failure> failure;
     Answer answer;
-    timetable::Edition edition = 0;
+    config::Edition edition = 0;
 };
 
 // A call of the operator.
 struct Order {
     std::string mark;  // in the body: tells one configuration from all others
-    timetable::Edition base = 0, edition = 0;
+    config::Edition base = 0, edition = 0;
     bool valid = true;
     std::string body;
 };
--- a/src/sim_mesh/hub.cpp
+++ b/src/sim_mesh/hub.cpp
@@ -2,16 +2,16 @@
 
 #include <algorithm>
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
 
 namespace {
 constexpr std::uint64_t kFleet = 77;
-constexpr Millis kStoreAgain = 300, kLookAtHubs = 250;  // as signalbox_io and programs/signalbox.cpp
+constexpr Millis kStoreAgain = 300, kLookAtHubs = 250;  // as control_io and programs/control.cpp
 
-void keep(agree::Stored& disk, const agree::Ready& ready) {
+void keep(raft::Stored& disk, const raft::Ready& ready) {
     if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
     if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
     if (ready.from > 0) {
@@ -22,7 +22,7 @@
 }  // namespace
 
 Hub::Hub(World& world, Ip ip, Disk& disk, bool first_boot)
-    : Node(world, ip, yard::NodeRole::hub), disk_(disk), first_boot_(first_boot) {
+    : Node(world, ip, registry::NodeRole::hub), disk_(disk), first_boot_(first_boot) {
     begin();
     open();
     look();
@@ -35,9 +35,9 @@
 }
 
 void Hub::look() {
-    if (replica_ && replica_->ledger().edition() != station().self().timetable)
-        tell([this](yard::NodeRecord& own) {
-            own.timetable = replica_->ledger().edition(), own.ready = true;
+    if (replica_ && replica_->state_machine().edition() != gossip().self().config_edition)
+        tell([this](registry::NodeRecord& own) {
+            own.config_edition = replica_->state_machine().edition(), own.ready = true;
         });
     after(kLookAtHubs, [this] { look(); });
 }
@@ -46,23 +46,23 @@
     replica_.reset();
     if (disk_.full) return refuses();
     if (!disk_.stored)
-        disk_.stored = first_boot_ ? signalbox::founded(kFleet, ip_, world_.seeds())
-                                   : agree::newcomer(kFleet, agree::kFirstDrawn + (world_.draw() >> 4));
+        disk_.stored = first_boot_ ? control::bootstrap(kFleet, ip_, world_.seeds())
+                                   : raft::newcomer(kFleet, raft::kFirstDrawn + (world_.draw() >> 4));
     ++disk_.stored->starts;
-    signalbox::ReplicaSettings settings;
+    control::ReplicaSettings settings;
     settings.agree.fleet = kFleet;
     settings.agree.number = ip_;
     settings.agree.keepers = UINT32_MAX;
     settings.agree.heartbeat = 100;
     settings.agree.election = 600;
-    replica_ = std::make_unique<signalbox::Replica>(settings, *disk_.stored, now(), world_.draw());
+    replica_ = std::make_unique<control::Replica>(settings, *disk_.stored, now(), world_.draw());
     event([] {});
 }
 
 void Hub::refuses() {
     replica_.reset();
     const auto calls = std::exchange(calls_, {});
-    for (const auto& [client, done] : calls) done(signalbox::Reply());
+    for (const auto& [client, done] : calls) done(control::Reply());
     after(kStoreAgain, [this] {
         if (!replica_) open();
     });
@@ -79,8 +79,8 @@
 }
 
 void Hub::pump() {
-    while (replica_ && replica_->ready() && !writing_) {
-        auto output = std::make_shared<signalbox::Output>(replica_->take(now()));
+    while (replica_ && replica_->has_output() && !writing_) {
+        auto output = std::make_shared<control::Output>(replica_->take_output(now()));
         if (!output->ready.writes()) {
             carry_out(*output);
             continue;
@@ -117,17 +117,17 @@
     });
 }
 
-void Hub::carry_out(const signalbox::Output& output) {
+void Hub::carry_out(const control::Output& output) {
     if (output.ready.retired) {
-        disk_.stored = agree::newcomer(kFleet, agree::kFirstDrawn + (world_.draw() >> 4));
+        disk_.stored = raft::newcomer(kFleet, raft::kFirstDrawn + (world_.draw() >> 4));
         const auto calls = std::exchange(calls_, {});
-        for (const auto& [client, done] : calls) done(signalbox::Reply());
+        for (const auto& [client, done] : calls) done(control::Reply());
         return open();
     }
-    replica_->stored();
+    replica_->persisted();
     const std::vector<Ip> others = hubs();
-    for (const agree::Message& message : output.ready.messages) {
-        if (message.kind != agree::Message::Kind::join || message.number != ip_) {
+    for (const raft::Message& message : output.ready.messages) {
+        if (message.kind != raft::Message::Kind::join || message.number != ip_) {
             send(message.to_number, message);
             continue;
         }
@@ -137,19 +137,21 @@
         all.erase(std::unique(all.begin(), all.end()), all.end());
         for (const Ip ip : all) send(ip, message);
     }
-    for (const agree::Message& message : output.to_all) {
+    for (const raft::Message& message : output.to_all) {
         std::vector<Ip> all = world_.seeds();
         all.insert(all.end(), others.begin(), others.end());
-        for (const agree::Member& member : replica_->keeper().members()) all.push_back(member.number);
+        for (const raft::Member& member : replica_->raft().members()) all.push_back(member.number);
         std::sort(all.begin(), all.end());
         all.erase(std::unique(all.begin(), all.end()), all.end());
         for (const Ip ip : all) send(ip, message);
     }
     if (output.newest) {
         hold(output.newest);
-        tell([&](yard::NodeRecord& own) { own.timetable = output.newest->edition, own.ready = true; });
+        tell([&](registry::NodeRecord& own) {
+            own.config_edition = output.newest->edition, own.ready = true;
+        });
     }
-    for (const signalbox::Reply& reply : output.replies) {
+    for (const control::Reply& reply : output.replies) {
         const auto at = calls_.find(reply.client);
         if (at == calls_.end()) continue;
         const Done done = std::move(at->second);
@@ -158,15 +160,15 @@
     }
 }
 
-void Hub::send(Ip to, const agree::Message& message) {
+void Hub::send(Ip to, const raft::Message& message) {
     if (to == ip_) return;
     world_.net.datagram(
-        ip_, to, [&world = world_, to, bytes = agree::encode(message), passed_on = message.number != ip_] {
+        ip_, to, [&world = world_, to, bytes = raft::encode(message), passed_on = message.number != ip_] {
             auto* hub = dynamic_cast<Hub*>(world.node(to));
             std::string why;
-            const auto heard = agree::decode_message(bytes, why);
+            const auto heard = raft::decode_message(bytes, why);
             if (hub && heard && hub->replica_)
-                hub->event([&] { hub->replica_->heard(hub->now(), *heard, passed_on); });
+                hub->event([&] { hub->replica_->on_message(hub->now(), *heard, passed_on); });
         });
 }
 
@@ -175,24 +177,24 @@
     return next_++;
 }
 
-void Hub::change(timetable::Change change, Done done) {
-    if (!replica_) return done(signalbox::Reply());
-    const bool valid =
-        replica_->ledger().current() == nullptr || change.body.find("\"deadline_s\":0") == std::string::npos;
-    if ((!world_.guards.commit_first && leads() && valid) ||
-        (!world_.guards.checks_changes && leads() && !valid)) {
-        // A guard is taken out: it answers as soon as it has heard.
-        signalbox::Reply reply;
-        reply.kind = signalbox::Reply::Kind::taken;
+void Hub::change(config::Change change, Done done) {
+    if (!replica_) return done(control::Reply());
+    const bool valid = replica_->state_machine().current() == nullptr ||
+                       change.body.find("\"deadline_s\":0") == std::string::npos;
+    if ((!world_.safeguards.commit_first && leads() && valid) ||
+        (!world_.safeguards.checks_changes && leads() && !valid)) {
+        // A proxy is taken out: it answers as soon as it has heard.
+        control::Reply reply;
+        reply.kind = control::Reply::Kind::taken;
         done(reply);
-        done = [](const signalbox::Reply&) {};
+        done = [](const control::Reply&) {};
     }
     const std::uint64_t client = call(std::move(done));
     event([&] { replica_->change(now(), client, std::move(change)); });
 }
 
 void Hub::read(Done done) {
-    if (!replica_) return done(signalbox::Reply());
+    if (!replica_) return done(control::Reply());
     const std::uint64_t client = call(std::move(done));
     event([&] { replica_->read(now(), client); });
 }
--- a/src/sim_mesh/gate.cpp
+++ b/src/sim_mesh/inbound.cpp
@@ -1,44 +1,45 @@
 #include <algorithm>
 
-#include "sim_mesh/guard.hpp"
+#include "sim_mesh/proxy.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
 
 namespace {
-constexpr Millis kLate = 40;  // as guard/gate.cpp
+constexpr Millis kLate = 40;  // as proxy/inbound.cpp
 }
 
-bool Gate::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t seq) {
-    const bool taken = crossing_.beat(life, capacity, closing && world_.guards.closing_at_crossing, seq);
+bool Inbound::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t seq) {
+    const bool taken =
+        admission_.beat(life, capacity, closing && world_.safeguards.closing_at_admission, seq);
     look();
     return taken;
 }
 
-void Gate::gone(const std::string& life) {
-    if (world_.guards.closing_at_crossing) crossing_.gone(life);
+void Inbound::gone(const std::string& life) {
+    if (world_.safeguards.closing_at_admission) admission_.gone(life);
     look();
 }
 
-void Gate::leave() {
-    crossing_.leave();
+void Inbound::leave() {
+    admission_.leave();
     look();
 }
 
-void Gate::seen_well(const std::string& life, std::uint32_t capacity) {
-    crossing_.seen_well(life, capacity);
+void Inbound::seen_well(const std::string& life, std::uint32_t capacity) {
+    admission_.seen_well(life, capacity);
     look();
 }
 
-void Gate::arrived(const HopRequest& hop, const CallPtr& call, Answered answered) {
+void Inbound::arrived(const HopRequest& hop, const CallPtr& call, Answered answered) {
     const Millis now = world_.time.now();
-    const crossing::Ticket ticket = next_++;
+    const admission::Ticket ticket = next_++;
     if (hop.edition > owner_.edition()) owner_.hop_newer(hop.edition);
-    crossing::Offer offer;
+    admission::Offer offer;
     offer.ticket = ticket;
     offer.id = hop.id;
-    offer.life = world_.guards.life_expected ? hop.expected : crossing_.life();
-    offer.once = hop.once && world_.guards.once_at_crossing;
+    offer.life = world_.safeguards.life_expected ? hop.expected : admission_.life();
+    offer.once = hop.once && world_.safeguards.once_at_admission;
     offer.may_wait = hop.may_wait;
     offer.rank = hop.rank;
     offer.deadline = now + hop.left;
@@ -48,28 +49,28 @@
     job.answer = std::move(answered);
     job.deadline = offer.deadline;
     call->on_closed = [this, ticket] { client_gone(ticket); };
-    const crossing::Answer said = crossing_.offer(now, offer);
-    if (said.act == crossing::Act::begin) begin(ticket);
-    if (said.act == crossing::Act::refuse) answer(ticket, {Failure{Verdict::not_run, said.reason}, {}, 0});
-    if (said.act == crossing::Act::wait) look_soon();
+    const admission::Answer said = admission_.offer(now, offer);
+    if (said.act == admission::Act::begin) begin(ticket);
+    if (said.act == admission::Act::refuse) answer(ticket, {Failure{Execution::not_run, said.reason}, {}, 0});
+    if (said.act == admission::Act::wait) look_soon();
 }
 
-void Gate::client_gone(crossing::Ticket ticket) {
+void Inbound::client_gone(admission::Ticket ticket) {
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end()) return;
     if (!at->second.at_work) {
-        crossing_.withdraw(ticket);
+        admission_.withdraw(ticket);
         jobs_.erase(at);
         return;
     }
     if (Server* server = world_.server(owner_.ip())) server->dropped(at->second.at_server);
     lines_.erase(at->second.line);
-    crossing_.ended(ticket, 0);
+    admission_.ended(ticket, 0);
     jobs_.erase(at);
     look_soon();
 }
 
-void Gate::begin(crossing::Ticket ticket) {
+void Inbound::begin(admission::Ticket ticket) {
     Job& job = jobs_.at(ticket);
     job.at_work = true;
     job.began = world_.time.now();
@@ -83,7 +84,8 @@
     for (const auto& [n, line] : lines_)
         if (line.ticket == 0 && number == 0) number = n;
     // A byte too many on an idle line: it is never used again.
-    if (number != 0 && lines_[number].stray && world_.guards.ids_compared) lines_.erase(number), number = 0;
+    if (number != 0 && lines_[number].stray && world_.safeguards.ids_compared)
+        lines_.erase(number), number = 0;
     if (number == 0) number = next_line_++;
     Line& line = lines_[number];
     line.ticket = ticket;
@@ -118,13 +120,14 @@
                 at->second.stray = said;
         });
     };
-    job.at_server = server->take(run, world_.guards.life_expected ? job.hop.expected : "", answered, extra);
+    job.at_server =
+        server->take(run, world_.safeguards.life_expected ? job.hop.expected : "", answered, extra);
     owner_.after(std::max(0.0, job.deadline + kLate - world_.time.now()), [this, ticket] {
         ended(ticket, {ServerAnswer::Kind::none, {}}, true);
     });
 }
 
-void Gate::ended(crossing::Ticket ticket, const ServerAnswer& said, bool silent) {
+void Inbound::ended(admission::Ticket ticket, const ServerAnswer& said, bool silent) {
     using Kind = ServerAnswer::Kind;
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end() || !at->second.at_work) return;
@@ -133,20 +136,20 @@
     bool keep = said.kind == Kind::whole || said.kind == Kind::turned_away;
     const bool stray = said.kind == Kind::whole && said.id != job.hop.id;
     if (silent) {
-        out.failure = Failure{Verdict::may_have_run, Reason::silent};
-    } else if (stray && world_.guards.ids_compared) {
-        out.failure = Failure{Verdict::may_have_run, Reason::broken};
+        out.failure = Failure{Execution::may_have_run, Reason::silent};
+    } else if (stray && world_.safeguards.ids_compared) {
+        out.failure = Failure{Execution::may_have_run, Reason::broken};
         keep = false;
     } else if (said.kind == Kind::whole) {
         out.answer = {200, said.id, 0, false};
     } else if (said.kind == Kind::turned_away) {
-        out.failure = Failure{Verdict::not_run, Reason::turned_away};
+        out.failure = Failure{Execution::not_run, Reason::turned_away};
     } else if (said.kind == Kind::wrong_life) {
-        out.failure = Failure{Verdict::not_run, Reason::wrong_life};
+        out.failure = Failure{Execution::not_run, Reason::wrong_life};
     } else if (said.kind == Kind::refused) {
-        out.failure = Failure{Verdict::not_run, Reason::unreachable};
+        out.failure = Failure{Execution::not_run, Reason::unreachable};
     } else {
-        out.failure = Failure{Verdict::may_have_run, Reason::broken};
+        out.failure = Failure{Execution::may_have_run, Reason::broken};
     }
     if (silent)
         if (Server* server = world_.server(owner_.ip())) server->dropped(job.at_server);
@@ -154,12 +157,12 @@
         line->second.ticket = 0;
         if (!keep) lines_.erase(line);
     }
-    crossing_.ended(ticket, out.failure ? 0 : world_.time.now() - job.began);
+    admission_.ended(ticket, out.failure ? 0 : world_.time.now() - job.began);
     answer(ticket, std::move(out));
     look_soon();
 }
 
-void Gate::answer(crossing::Ticket ticket, HopAnswer said) {
+void Inbound::answer(admission::Ticket ticket, HopAnswer said) {
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end()) return;
     said.edition = owner_.edition();
@@ -168,18 +171,18 @@
     answered(said);
 }
 
-void Gate::look_soon() {
+void Inbound::look_soon() {
     if (std::exchange(looking_, true)) return;
     owner_.after(0, [this] { look(); });
 }
 
-void Gate::look() {
+void Inbound::look() {
     looking_ = false;
     const Millis now = world_.time.now();
-    for (const auto& turned : crossing_.turned(now))
-        answer(turned.ticket, {Failure{Verdict::not_run, turned.reason}, {}, 0});
-    for (const crossing::Ticket ticket : crossing_.next(now)) begin(ticket);
-    const Millis next = crossing_.due();
+    for (const auto& turned : admission_.turned(now))
+        answer(turned.ticket, {Failure{Execution::not_run, turned.reason}, {}, 0});
+    for (const admission::Ticket ticket : admission_.next(now)) begin(ticket);
+    const Millis next = admission_.due();
     if (next == 0 || next == armed_) return;
     armed_ = next;
     world_.net.at(owner_.ip(), next, [this] {
--- a/src/sim_mesh/operator.cpp
+++ b/src/sim_mesh/operator.cpp
@@ -17,14 +17,14 @@
 }
 }  // namespace
 
-void Operators::write(Running& running, timetable::Edition base) {
+void Operators::write(Running& running, config::Edition base) {
     Order& order = running.order;
     const Ask& ask = running.ask;
     order.base = base;
     order.edition = ask.edition != 0 ? ask.edition : newest_ + 1 + world_.draw() % 3;
     newest_ = std::max(newest_, order.edition);
     order.valid = ask.valid;
-    order.mark = "/o" + std::to_string(ask.who) + "-" + timetable::to_text(order.edition) + "/";
+    order.mark = "/o" + std::to_string(ask.who) + "-" + config::to_text(order.edition) + "/";
     std::string routes = route("mark", order.mark, "plain", "s0", ask.valid);
     for (std::size_t i = 0; i < ask.routes; ++i)
         routes += "," + route("x" + std::to_string(i), "/x" + std::to_string(i) + "/", "plain", "s0", true);
@@ -37,7 +37,7 @@
                       route("r" + n, "/r" + n + "/", "registered", to, true);
         services += (i > 0 ? ",\"s" : "\"s") + n + "\":{\"health_path\":\"/health\",\"max_connections\":100}";
     }
-    const std::string edition = "{\"edition\":\"" + timetable::to_text(order.edition) + "\",";
+    const std::string edition = "{\"edition\":\"" + config::to_text(order.edition) + "\",";
     order.body = ask.patch ? edition + "\"upsert\":{\"routes\":{" + routes + "}}}"
                            : edition + "\"routes\":{" + routes + "},\"services\":{" + services +
                                  "},\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":1048576,"
@@ -52,7 +52,7 @@
     if (!std::exchange(watching_, true)) watch();
 }
 
-void Operators::resend(timetable::Edition edition) {
+void Operators::resend(config::Edition edition) {
     const auto at = acked_.find(edition);
     if (at == acked_.end()) return;
     Running running = at->second;
@@ -79,14 +79,14 @@
 }
 
 void Operators::attempt(unsigned who, Ip hub, int hops) {
-    using Kind = signalbox::Reply::Kind;
+    using Kind = control::Reply::Kind;
     const Running& running = queues_[who].orders.front();
-    timetable::Change change;
-    change.kind = running.ask.patch ? timetable::Change::Kind::patch : timetable::Change::Kind::put;
+    config::Change change;
+    change.kind = running.ask.patch ? config::Change::Kind::patch : config::Change::Kind::put;
     change.if_match = running.order.base;
     change.body = running.order.body;
     auto over = std::make_shared<bool>(false);
-    const auto heard = [this, who, hub, hops, over](const signalbox::Reply& reply) {
+    const auto heard = [this, who, hub, hops, over](const control::Reply& reply) {
         if (std::exchange(*over, true)) return;
         Queue& queue = queues_[who];
         const Running now = queue.orders.front();
@@ -113,15 +113,15 @@
         [&world = world_, change, heard](const CallPtr& c) {
             auto* node = dynamic_cast<Hub*>(world.node(c->to));
             if (!node) return;
-            node->change(change, [&world, c, heard](const signalbox::Reply& reply) {
+            node->change(change, [&world, c, heard](const control::Reply& reply) {
                 world.net.reply(c, [reply, heard] { heard(reply); });
             });
         },
-        [heard](bool) { heard(signalbox::Reply()); });
+        [heard](bool) { heard(control::Reply()); });
     world_.time.after(kSilence, [this, call, heard, over] {
         if (*over) return;
         world_.net.close(call);
-        heard(signalbox::Reply());
+        heard(control::Reply());
     });
 }
 
@@ -137,7 +137,7 @@
     begin(who);
 }
 
-// The gate's rule of acknowledgements: a proper order must not wait that long while the core is settled.
+// The inbound's rule of acknowledgements: a proper order must not wait that long while the core is settled.
 void Operators::watch() {
     for (auto& [who, queue] : queues_) {
         if (!queue.busy) continue;
@@ -161,11 +161,11 @@
 void Operators::read(Millis until, Ip hub, int hops) {
     if (world_.time.now() >= until - 100) return;
     auto over = std::make_shared<bool>(false);
-    const auto heard = [this, over, until, hops](const signalbox::Reply& reply) {
+    const auto heard = [this, over, until, hops](const control::Reply& reply) {
         if (std::exchange(*over, true)) return;
-        if (reply.kind == signalbox::Reply::Kind::elsewhere && hops < 2)
+        if (reply.kind == control::Reply::Kind::elsewhere && hops < 2)
             return read(until, reply.leader, hops + 1);
-        if (reply.kind != signalbox::Reply::Kind::config) return;
+        if (reply.kind != control::Reply::Kind::config) return;
         read_edition_ = reply.current->edition;  // the last answer counts
         read_mark_ = mark_of(*reply.current);
     };
@@ -173,7 +173,7 @@
         World::kOperator, hub, 0,
         [&world = world_, heard](const CallPtr& c) {
             if (auto* node = dynamic_cast<Hub*>(world.node(c->to)))
-                node->read([&world, c, heard](const signalbox::Reply& r) {
+                node->read([&world, c, heard](const control::Reply& r) {
                     world.net.reply(c, [r, heard] { heard(r); });
                 });
         },
--- a/src/sim_mesh/operator.hpp
+++ b/src/sim_mesh/operator.hpp
@@ -14,14 +14,14 @@
 public:
     explicit Operators(World& world) : world_(world) {}
     struct Ask {
-        timetable::Edition edition = 0, base = 0;  // 0: the next; the newest that this operator knows
+        config::Edition edition = 0, base = 0;  // 0: the next; the newest that this operator knows
         bool base_given = false, patch = false, valid = true, swap = false;
         std::size_t routes = 0;  // further ones
         Ip via = 0;              // the hub that is asked first
         unsigned who = 1;
     };
     void put(const Ask& ask);
-    void resend(timetable::Edition edition);  // of an order that was acknowledged
+    void resend(config::Edition edition);  // of an order that was acknowledged
     void read_back(Millis until);
     // Called at the operator's, with the hub that acknowledged.
     std::function<void(Ip)> on_ack;
@@ -37,24 +37,24 @@
     struct Queue {
         std::deque<Running> orders;
         bool busy = false;
-        timetable::Edition known = 0;
+        config::Edition known = 0;
     };
     void begin(unsigned who);
     void attempt(unsigned who, Ip hub, int hops);
     void again(unsigned who);
     void done(unsigned who);
-    void write(Running& running, timetable::Edition base);
+    void write(Running& running, config::Edition base);
     void watch();
     void read(Millis until, Ip hub, int hops);
     Ip any_hub();
 
     World& world_;
     std::map<unsigned, Queue> queues_;
-    std::map<timetable::Edition, Running> acked_;
-    timetable::Edition newest_ = 0;  // of all that were sent
+    std::map<config::Edition, Running> acked_;
+    config::Edition newest_ = 0;  // of all that were sent
     std::size_t acknowledged_ = 0;
     bool watching_ = false;
-    timetable::Edition read_edition_ = 0;
+    config::Edition read_edition_ = 0;
     std::string read_mark_;
 };
 
--- a/src/sim_mesh/pool.cpp
+++ b/src/sim_mesh/pool.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "crossing/module_settings.hpp"
-#include "sim_mesh/guard.hpp"
+#include "admission/module_settings.hpp"
+#include "sim_mesh/proxy.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
@@ -12,33 +12,33 @@
 using kelplb::Outcome;
 
 namespace {
-// As guard/mesh_dialect.cpp and guard/outbound.cpp have them; those pages bring Boost and can't be linked
+// As proxy/mesh_dialect.cpp and proxy/outbound.cpp have them; those pages bring Boost and can't be linked
 // here.
-constexpr std::uint32_t kGuards = 15;
+constexpr std::uint32_t kProxies = 15;
 constexpr unsigned kWaitFrom = 2;
 constexpr Millis kLeastRetry = 60, kMostRetry = 1000, kConnectWithin = 400, kIdleClose = 9000,
                  kDeadAfter = 2500;
 
-// `repeat_all`: with the guard out that keeps registered requests from running again.
+// `repeat_all`: with the proxy out that keeps registered requests from running again.
 kelplb::Settings settings_of(std::optional<kelplb::ZoneId> zone, bool repeat_all) {
-    kelplb::Settings s = crossing::module_settings(zone, kGuards);
+    kelplb::Settings s = admission::module_settings(zone, kProxies);
     if (repeat_all)
         for (kelplb::RequestClass& c : s.classes) c.effect = kelplb::Effect::repeatable;
     return s;
 }
 
-crossing::Allowance::Settings budget(const Bounds& bounds) {
-    crossing::Allowance::Settings s;
+admission::RetryBudget::Settings budget(const Bounds& bounds) {
+    admission::RetryBudget::Settings s;
     s.ratio = bounds.retry_ratio, s.slack = bounds.retry_slack, s.window = bounds.retry_window;
     return s;
 }
 }  // namespace
 
-Pool::Pool(Guard& owner, World& world, std::uint64_t seed, std::optional<kelplb::ZoneId> zone)
+Pool::Pool(Proxy& owner, World& world, std::uint64_t seed, std::optional<kelplb::ZoneId> zone)
     : owner_(owner),
       world_(world),
-      balancer_(settings_of(zone, !world.guards.registered_once), seed),
-      allowance_(budget(world.bounds)) {
+      balancer_(settings_of(zone, !world.safeguards.registered_once), seed),
+      retry_budget_(budget(world.bounds)) {
     push(kelplb::Started{});
 }
 
@@ -97,22 +97,22 @@
     push(std::move(event));
 }
 
-std::uint64_t Pool::arrived(const RequestPtr& request, const timetable::Route& route, Millis left,
+std::uint64_t Pool::arrived(const RequestPtr& request, const config::Route& route, Millis left,
                             Answered done) {
     const std::uint64_t id = next_++;
     Job& job = jobs_[id];
     job.request = request;
     job.done = std::move(done);
-    job.once = route.kind == timetable::RouteKind::registered;
+    job.once = route.kind == config::RouteKind::registered;
     job.tries = std::max(1U, route.tries);
     job.rank = route.priority;
     job.target = route.target_ms;
     job.until = world_.time.now() + left;
     ++unanswered_;
-    allowance_.request(world_.time.now());
+    retry_budget_.request(world_.time.now());
     kelplb::RequestArrived event;
     event.id = id;
-    event.class_index = crossing::class_of(job.once, 1, job.target);
+    event.class_index = admission::class_of(job.once, 1, job.target);
     event.time_left = left;
     push(event);
     return id;
@@ -132,9 +132,9 @@
 bool Pool::may_send(Job& job, const std::string& life) {
     Story& story = job.story;
     if (story.offered > 0) {
-        const bool ran = job.once && story.may_have_run && world_.guards.registered_once;
-        if (ran || (story.offered >= job.tries && world_.guards.budget) ||
-            (world_.guards.budget && !allowance_.spend(world_.time.now(), owner_.live_guards())))
+        const bool ran = job.once && story.may_have_run && world_.safeguards.registered_once;
+        if (ran || (story.offered >= job.tries && world_.safeguards.budget) ||
+            (world_.safeguards.budget && !retry_budget_.spend(world_.time.now(), owner_.live_proxies())))
             return false;
     }
     story.server = life;
@@ -160,7 +160,7 @@
     HopRequest hop;
     hop.request = job.request;
     hop.id = job.request->id, hop.path = job.request->path;
-    hop.caller = world_.guards.caller_named ? owner_.service() : "";
+    hop.caller = world_.safeguards.caller_named ? owner_.service() : "";
     hop.expected = to.host.life;
     hop.once = job.once;
     hop.may_wait = job.story.sent > kWaitFrom;
@@ -177,9 +177,9 @@
     const CallPtr call = world_.net.call(
         owner_.ip(), to.host.ip, fresh ? 0 : kept.epoch,
         [&world = world_, hop, answered](const CallPtr& c) {
-            auto* guard = dynamic_cast<Guard*>(world.node(c->to));
-            if (guard)
-                guard->gate().arrived(hop, c, [&world, c, answered](const HopAnswer& said) {
+            auto* proxy = dynamic_cast<Proxy*>(world.node(c->to));
+            if (proxy)
+                proxy->inbound().arrived(hop, c, [&world, c, answered](const HopAnswer& said) {
                     world.net.reply(c, [said, c, answered] { answered(said, c->to_epoch); });
                 });
         },
@@ -237,7 +237,7 @@
     if (said->failure) {
         const Failure& failure = *said->failure;
         story.reason = failure.reason;
-        if (failure.verdict != Verdict::not_run || failure.reason == Reason::repeated)
+        if (failure.execution != Execution::not_run || failure.reason == Reason::repeated)
             return ran(failure.reason == Reason::silent ? Outcome::overdue : Outcome::severed, false);
         if (failure.reason == Reason::turned_away) {
             ++story.offered;
@@ -267,8 +267,8 @@
     if (at == jobs_.end()) return;
     Story& story = at->second.story;
     const auto proof =
-        NotRun::from({story.may_have_run ? Verdict::may_have_run : Verdict::not_run, story.reason});
-    if (!proof && world_.guards.proof_of_refusal) return fail(id);
+        NotRun::from({story.may_have_run ? Execution::may_have_run : Execution::not_run, story.reason});
+    if (!proof && world_.safeguards.proof_of_refusal) return fail(id);
     answer(at->second, {503, {}, std::clamp(retry_in, kLeastRetry, kMostRetry), false});
     drop(id);
 }
@@ -277,7 +277,7 @@
     const auto at = jobs_.find(id);
     if (at == jobs_.end()) return;
     const Reason reason = at->second.story.reason;
-    const unsigned status = !world_.guards.proof_of_refusal                      ? 503
+    const unsigned status = !world_.safeguards.proof_of_refusal                  ? 503
                             : reason == Reason::silent || reason == Reason::late ? 504
                                                                                  : 502;
     answer(at->second, {status, {}, 0, false});
--- a/src/sim_mesh/pool.hpp
+++ b/src/sim_mesh/pool.hpp
@@ -1,27 +1,27 @@
-// The caller's side of a guard for one service: kelplb::Balancer and the calls that it asks for, glued as
-// net/sidecar.cpp and guard/mesh_dialect.cpp glue them. Entry type: Pool. Called by Guard.
+// The caller's side of a proxy for one service: kelplb::Balancer and the calls that it asks for, glued as
+// net/sidecar.cpp and proxy/mesh_dialect.cpp glue them. Entry type: Pool. Called by Proxy.
 #pragma once
 
 #include <deque>
 #include <map>
 #include <set>
 
-#include "crossing/allowance.hpp"
+#include "admission/retry_budget.hpp"
 #include "kelplb/balancer.hpp"
 #include "sim_mesh/node.hpp"
 
 namespace cobaltshift::simmesh {
 
-class Guard;
+class Proxy;
 
-// One hop: a request on its way to the guard beside a server.
+// One hop: a request on its way to the proxy beside a server.
 struct HopRequest {
     RequestPtr request;
     std::string id, path, caller, expected;  // as they are passed on
     bool once = true, may_wait = false;
     int rank = 0;
     Millis target = 0, left = 0;
-    timetable::Edition edition = 0;
+    config::Edition edition = 0;
     Ip by = 0;
 };
 
@@ -37,10 +37,9 @@
     };
     using Answered = std::function<void(const Answer&)>;
 
-    Pool(Guard& owner, World& world, std::uint64_t seed, std::optional<kelplb::ZoneId> zone);
+    Pool(Proxy& owner, World& world, std::uint64_t seed, std::optional<kelplb::ZoneId> zone);
     void told(const std::vector<Host>& hosts);
-    std::uint64_t arrived(const RequestPtr& request, const timetable::Route& route, Millis left,
-                          Answered done);
+    std::uint64_t arrived(const RequestPtr& request, const config::Route& route, Millis left, Answered done);
     void client_gone(std::uint64_t id);
     std::size_t unanswered() const { return unanswered_; }
 
@@ -89,10 +88,10 @@
     void fail(std::uint64_t id);
     void drop(std::uint64_t id);
 
-    Guard& owner_;
+    Proxy& owner_;
     World& world_;
     kelplb::Balancer balancer_;
-    crossing::Allowance allowance_;
+    admission::RetryBudget retry_budget_;
     std::deque<kelplb::Event> events_;
     bool pump_posted_ = false;
     std::map<std::uint64_t, Job> jobs_;
--- a/src/sim_mesh/guard.hpp
+++ b/src/sim_mesh/proxy.hpp
@@ -1,9 +1,9 @@
-// A guard (sidecar): news, timetable, the crossing before its server and the callers' pools, glued as
-// guard::GuardNode, guard::Gate and guard::Outbound glue them. Entry type: Guard, one life of its process.
+// A proxy (sidecar): news, configuration, the admission before its server and the callers' pools, glued as
+// proxy::Proxy, proxy::Inbound and proxy::Outbound glue them. Entry type: Proxy, one life of its process.
 // Called by World, Clients and the Server beside it.
 #pragma once
 
-#include "crossing/crossing.hpp"
+#include "admission/admission.hpp"
 #include "sim_mesh/node.hpp"
 #include "sim_mesh/pool.hpp"
 #include "sim_mesh/server.hpp"
@@ -11,17 +11,17 @@
 namespace cobaltshift::simmesh {
 
 // The server's side.
-class Gate {
+class Inbound {
 public:
     using Answered = std::function<void(const HopAnswer&)>;
-    Gate(Guard& owner, World& world) : owner_(owner), world_(world) {}
+    Inbound(Proxy& owner, World& world) : owner_(owner), world_(world) {}
 
     bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t seq);
     void gone(const std::string& life);
     void leave();
     void seen_well(const std::string& life, std::uint32_t capacity);
     void arrived(const HopRequest& hop, const CallPtr& call, Answered answer);
-    const crossing::Crossing& crossing() const { return crossing_; }
+    const admission::Admission& admission() const { return admission_; }
     bool busy() const { return !jobs_.empty(); }
 
 private:
@@ -34,59 +34,59 @@
         std::size_t line = 0;
     };
     struct Line {  // a kept connection to the server
-        crossing::Ticket ticket = 0;
+        admission::Ticket ticket = 0;
         std::string life;
         std::optional<ServerAnswer> stray;  // came while nobody asked
     };
-    void client_gone(crossing::Ticket ticket);
-    void begin(crossing::Ticket ticket);
-    void ended(crossing::Ticket ticket, const ServerAnswer& said, bool silent);
-    void answer(crossing::Ticket ticket, HopAnswer said);
+    void client_gone(admission::Ticket ticket);
+    void begin(admission::Ticket ticket);
+    void ended(admission::Ticket ticket, const ServerAnswer& said, bool silent);
+    void answer(admission::Ticket ticket, HopAnswer said);
     void look();
     void look_soon();
 
-    Guard& owner_;
+    Proxy& owner_;
     World& world_;
-    crossing::Crossing crossing_;
-    std::map<crossing::Ticket, Job> jobs_;
+    admission::Admission admission_;
+    std::map<admission::Ticket, Job> jobs_;
     std::map<std::size_t, Line> lines_;
     std::size_t next_line_ = 1;
-    crossing::Ticket next_ = 1;
+    admission::Ticket next_ = 1;
     Millis armed_ = 0;
     bool looking_ = false;
 };
 
-class Guard : public Node {
+class Proxy : public Node {
 public:
-    Guard(World& world, Ip ip, std::string service, bool first_boot);
+    Proxy(World& world, Ip ip, std::string service, bool first_boot);
 
     // For clients: `done` once; the number withdraws it.
     std::uint64_t request(const RequestPtr& request, Pool::Answered done);
     void client_gone(std::uint64_t number);
-    bool ready() const { return !leaving_ && held() && station().joined(); }
+    bool ready() const { return !leaving_ && held() && gossip().joined(); }
 
     bool beat(const Server& server, bool closing, std::uint64_t seq);  // true: acknowledged
     void server_gone(const std::string& life);
     void stop(Task done);  // SIGTERM
 
-    Gate& gate() { return gate_; }
+    Inbound& inbound() { return inbound_; }
     const std::string& service() const { return service_; }
-    using Node::after, Node::edition, Node::live_guards;
+    using Node::after, Node::edition, Node::live_proxies;
     void avoid(const std::string& life);
-    void newer(const std::string& life, timetable::Edition edition);
-    void hop_newer(timetable::Edition edition);
+    void newer(const std::string& life, config::Edition edition);
+    void hop_newer(config::Edition edition);
 
 private:
-    void yard_changed() override;
-    void heard_of(Ip ip, timetable::Edition edition) override { hint(ip, edition); }
+    void registry_changed() override;
+    void heard_of(Ip ip, config::Edition edition) override { hint(ip, edition); }
     void took() override;
     void list_servers();
     void wind_down(Millis stop_at, const Task& done);
-    const std::string& choose(const timetable::Route& route);
+    const std::string& choose(const config::Route& route);
 
     const std::string service_;
     const bool first_boot_;
-    Gate gate_;
+    Inbound inbound_;
     std::map<std::string, std::unique_ptr<Pool>> pools_;
     std::map<std::uint64_t, std::pair<Pool*, std::uint64_t>> numbers_;
     std::uint64_t next_ = 1;
--- a/src/sim_mesh/rules.cpp
+++ b/src/sim_mesh/rules.cpp
@@ -111,12 +111,12 @@
         if (!order.valid) never_.insert(order.mark);
     }
     void refused(const Order& order) override { never_.insert(order.mark); }
-    void handled(Ip ip, std::uint64_t epoch, const Request& r, const timetable::Timetable* held) override {
-        const timetable::Edition edition = held ? held->edition : 0;
-        // Stricter than the page (revert_s): a guard never goes back within one life, not for a moment.
-        timetable::Edition& newest = newest_[{ip, epoch}];
+    void handled(Ip ip, std::uint64_t epoch, const Request& r, const config::Configuration* held) override {
+        const config::Edition edition = held ? held->edition : 0;
+        // Stricter than the page (revert_s): a proxy never goes back within one life, not for a moment.
+        config::Edition& newest = newest_[{ip, epoch}];
         if (edition < newest)
-            rules_.accuse("CONFIG", "a guard went back from r" + std::to_string(newest) + " to r" +
+            rules_.accuse("CONFIG", "a proxy went back from r" + std::to_string(newest) + " to r" +
                                         std::to_string(edition));
         newest = std::max(newest, edition);
         if (held) {
@@ -131,8 +131,8 @@
                 break;
             }
     }
-    void read_back(const std::string& mark, timetable::Edition edition) override {
-        timetable::Edition newest = 0;
+    void read_back(const std::string& mark, config::Edition edition) override {
+        config::Edition newest = 0;
         for (const auto& [at, acked] : acks_) newest = std::max(newest, acked);
         const auto known = marks_.find(edition);
         if (edition < newest || (known != marks_.end() && known->second != mark))
@@ -141,10 +141,10 @@
                 "r" + std::to_string(newest) + " was acknowledged, read back is r" + std::to_string(edition));
         if (never_.count(mark)) rules_.accuse("CONFIG", mark + " was refused and is read back");
     }
-    std::map<timetable::Edition, std::string> on_base_, marks_;
-    std::vector<std::pair<Millis, timetable::Edition>> acks_;
+    std::map<config::Edition, std::string> on_base_, marks_;
+    std::vector<std::pair<Millis, config::Edition>> acks_;
     std::set<std::string> never_;
-    std::map<std::pair<Ip, std::uint64_t>, timetable::Edition> newest_;
+    std::map<std::pair<Ip, std::uint64_t>, config::Edition> newest_;
 };
 
 struct Budget : Checker {
@@ -200,9 +200,9 @@
 
 }  // namespace
 
-std::string mark_of(const timetable::Timetable& timetable) {
-    const auto route = timetable.routes.find("mark");
-    return route == timetable.routes.end() ? "" : route->second.path_prefix;
+std::string mark_of(const config::Configuration& configuration) {
+    const auto route = configuration.routes.find("mark");
+    return route == configuration.routes.end() ? "" : route->second.path_prefix;
 }
 
 void Touch::trouble(Millis now, Ip ip, bool core, bool on) {
--- a/src/sim_mesh/rules.hpp
+++ b/src/sim_mesh/rules.hpp
@@ -17,7 +17,7 @@
 namespace cobaltshift::simmesh {
 
 // Tells one configuration from all others: the prefix of its route of the name "mark".
-std::string mark_of(const timetable::Timetable& timetable);
+std::string mark_of(const config::Configuration& configuration);
 
 struct Finding {
     std::string rule, what;
@@ -47,7 +47,7 @@
 struct Run {  // a server has begun work
     RequestPtr request;
     std::string service, life, caller;
-    Ip server = 0, by = 0;  // its machine; the guard that sent it there
+    Ip server = 0, by = 0;  // its machine; the proxy that sent it there
     std::string id, path;   // as the server saw them
 };
 
@@ -60,13 +60,12 @@
     virtual void arrived(const Run&) {}  // at a server, whatever it does with it
     virtual void ran(const Run&) {}
     virtual void answered(const Request&, const Answer&) {}
-    virtual void handled(Ip, std::uint64_t /*epoch*/, const Request&, const timetable::Timetable*) {}
+    virtual void handled(Ip, std::uint64_t /*epoch*/, const Request&, const config::Configuration*) {}
     virtual void closing(Ip, const std::string& /*life*/) {}  // acknowledged
     virtual void ordered(const Order&) {}
     virtual void acknowledged(const Order&) {}
-    virtual void refused(const Order&) {}  // 412, 400
-    virtual void read_back(const std::string& /*mark*/, timetable::Edition) {
-    }  // at the end; 0: it did not come
+    virtual void refused(const Order&) {}                                    // 412, 400
+    virtual void read_back(const std::string& /*mark*/, config::Edition) {}  // at the end; 0: it did not come
     virtual void end() {}
 
 protected:
--- a/src/sim_mesh/script.cpp
+++ b/src/sim_mesh/script.cpp
@@ -40,7 +40,7 @@
 
 const std::set<std::string>& targets() {
     static const std::set<std::string> all = {"leader", "others", "follower", "hubs",   "hub",
-                                              "guard",  "half",   "guards",   "service"};
+                                              "proxy",  "half",   "proxies",  "service"};
     return all;
 }
 
@@ -56,9 +56,9 @@
             std::string first;
             if (in >> first) read_line(first, in);
         }
-        if (scenario_.fleet.hubs < 1 || scenario_.fleet.guards < 1 || scenario_.fleet.zones < 1 ||
+        if (scenario_.fleet.hubs < 1 || scenario_.fleet.proxies < 1 || scenario_.fleet.zones < 1 ||
             scenario_.fleet.services < 1)
-            wrong("a fleet needs guards, hubs, zones and services");
+            wrong("a fleet needs proxies, hubs, zones and services");
         if (!scenario_.rules) wrong("'must rules' is missing");
         Millis last = 0;
         for (const Timed& timed : scenario_.events) last = std::max(last, timed.at);
@@ -93,10 +93,10 @@
     void read_line(const std::string& first, std::istringstream& in) {
         if (first == "fleet") {
             Fleet& f = scenario_.fleet;
-            for (const auto& [key, value] : pairs(in, {"guards", "hubs", "zones", "services", "seed",
+            for (const auto& [key, value] : pairs(in, {"proxies", "hubs", "zones", "services", "seed",
                                                        "capacity", "work", "end", "slack"})) {
                 const auto count = static_cast<std::size_t>(value);
-                if (key == "guards") f.guards = count;
+                if (key == "proxies") f.proxies = count;
                 if (key == "hubs") f.hubs = count;
                 if (key == "zones") f.zones = count;
                 if (key == "services") f.services = count;
@@ -176,7 +176,7 @@
                 !std::set<std::string>{"put", "patch", "resend", "loss"}.count(command.verb);
             if (targeted && (command.words.empty() || !targets().count(command.words[0])))
                 wrong("'" + command.verb + "' of what?");
-            if (targeted && std::set<std::string>{"hub", "guard", "service"}.count(command.words[0])) {
+            if (targeted && std::set<std::string>{"hub", "proxy", "service"}.count(command.words[0])) {
                 if (command.words.size() < 2) wrong("which " + command.words[0] + "?");
                 command.which = number(command.words[1]);
             }
--- a/src/sim_mesh/script.hpp
+++ b/src/sim_mesh/script.hpp
@@ -2,7 +2,7 @@
 // Called by the runner of tests; World plays what comes out.
 //
 //   # what it is about
-//   fleet guards=9 hubs=3 zones=3 services=2 seed=7     also capacity, work (ms), end, slack
+//   fleet proxies=9 hubs=3 zones=3 services=2 seed=7     also capacity, work (ms), end, slack
 //   traffic plain=40 registered=20 from=8 to=40         a second; as many lines as wanted
 //   at 10 put edition=12; cut leader for=5              several at once
 //   at 10 on_ack wipe leader; power others for=1        with the next acknowledgement from then on
@@ -41,7 +41,7 @@
 };
 
 struct Fleet {
-    std::size_t guards = 6, hubs = 3, zones = 3, services = 2, capacity = 8;
+    std::size_t proxies = 6, hubs = 3, zones = 3, services = 2, capacity = 8;
     std::uint64_t seed = 1;
     Millis work = 40, end = 0;  // of a request; of the scenario
     double slack = 20;          // of the retry budget
--- a/src/sim_mesh/server.cpp
+++ b/src/sim_mesh/server.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "sim_mesh/guard.hpp"
+#include "sim_mesh/proxy.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
@@ -42,8 +42,8 @@
         world_.time.after(0.3, [this, alive = alive_, closing, seq, acknowledged, epoch = machine.epoch] {
             if (!*alive) return;
             world_.net.in_process(ip_, epoch, [this, alive = alive_, closing, seq, acknowledged] {
-                auto* guard = dynamic_cast<Guard*>(world_.node(ip_));
-                if (!*alive || !guard || !guard->beat(*this, closing, seq)) return;
+                auto* proxy = dynamic_cast<Proxy*>(world_.node(ip_));
+                if (!*alive || !proxy || !proxy->beat(*this, closing, seq)) return;
                 world_.time.after(0.3, [this, alive, closing, acknowledged] {
                     if (!*alive) return;
                     *acknowledged = true;
@@ -66,8 +66,8 @@
 }
 
 void Server::end() {
-    if (auto* guard = dynamic_cast<Guard*>(world_.node(ip_)); guard && !world_.net.machine(ip_).blocked())
-        guard->server_gone(life_);
+    if (auto* proxy = dynamic_cast<Proxy*>(world_.node(ip_)); proxy && !world_.net.machine(ip_).blocked())
+        proxy->server_gone(life_);
     if (on_end) on_end();  // the last that it does: `this` is gone then
 }
 
--- a/src/sim_mesh/server.hpp
+++ b/src/sim_mesh/server.hpp
@@ -1,6 +1,6 @@
 // An application server: works on `capacity` requests, queues a few, is slow at first, says what it is by
 // beats, leaves in order or crashes, and in trouble loses its answers. Entry type: Server, one life. Called
-// by World (its trouble) and by the Guard beside it (requests).
+// by World (its trouble) and by the Proxy beside it (requests).
 #pragma once
 
 #include <deque>
--- a/src/sim_mesh/world.cpp
+++ b/src/sim_mesh/world.cpp
@@ -10,9 +10,9 @@
 }
 }  // namespace
 
-World::World(const Fleet& fleet, const Guards& without)
+World::World(const Fleet& fleet, const Safeguards& without)
     : bounds(bounds_of(fleet)),
-      guards(without),
+      safeguards(without),
       fleet_(fleet),
       random_(fleet.seed),
       net(time, fleet.seed + 1),
@@ -23,7 +23,7 @@
     net.start(kOperator);
     for (std::size_t i = 0; i < fleet.hubs; ++i) seeds_.push_back(add(true, i));
     std::vector<Ip> branches;
-    for (std::size_t i = 0; i < fleet.guards; ++i) branches.push_back(add(false, i));
+    for (std::size_t i = 0; i < fleet.proxies; ++i) branches.push_back(add(false, i));
     for (const Ip ip : seeds_) start(ip, true);
     for (const Ip ip : branches) {
         start(ip, true);
@@ -56,7 +56,7 @@
     return all;
 }
 
-std::vector<Ip> World::guard_ips() const {
+std::vector<Ip> World::proxy_ips() const {
     std::vector<Ip> all;
     for (const auto& [ip, site] : sites_)
         if (!site.hub) all.push_back(ip);
@@ -65,11 +65,11 @@
 
 Ip World::leader() const {
     Ip leader = 0;
-    agree::Term term = 0;
+    raft::Term term = 0;
     for (const auto& [ip, site] : sites_) {
         const auto* hub = dynamic_cast<const Hub*>(site.node.get());
-        if (hub && hub->leads() && hub->replica()->keeper().term() >= term)
-            leader = ip, term = hub->replica()->keeper().term();
+        if (hub && hub->leads() && hub->replica()->raft().term() >= term)
+            leader = ip, term = hub->replica()->raft().term();
     }
     return leader;
 }
@@ -83,7 +83,7 @@
     if (site.hub)
         site.node = std::make_unique<Hub>(*this, ip, site.disk, first_boot);
     else
-        site.node = std::make_unique<Guard>(*this, ip, site.service, first_boot);
+        site.node = std::make_unique<Proxy>(*this, ip, site.service, first_boot);
 }
 
 void World::end(Ip ip, bool power) {
--- a/src/sim_mesh/world.hpp
+++ b/src/sim_mesh/world.hpp
@@ -1,14 +1,14 @@
-// A whole mesh in virtual time, from one seed: hubs, guards, application servers, clients and operators round
-// the real cores (signalbox::Replica, telegraph::Station, crossing::Crossing, kelplb::Balancer, timetable),
-// with a model of network and disks, and the users' rules watching. Entry type of the package: World; play()
-// makes one, plays a scenario to its end and says what came of it. Called by tests/mesh. Free of I/O: no
-// clock, thread, file or random device.
+// A whole mesh in virtual time, from one seed: hubs, proxies, application servers, clients and operators
+// round the real cores (control::Replica, gossip::Gossip, admission::Admission, kelplb::Balancer,
+// configuration), with a model of network and disks, and the users' rules watching. Entry type of the
+// package: World; play() makes one, plays a scenario to its end and says what came of it. Called by
+// tests/mesh. Free of I/O: no clock, thread, file or random device.
 #pragma once
 
 #include "sim_mesh/clients.hpp"
-#include "sim_mesh/guard.hpp"
 #include "sim_mesh/hub.hpp"
 #include "sim_mesh/operator.hpp"
+#include "sim_mesh/proxy.hpp"
 #include "sim_mesh/script.hpp"
 
 namespace cobaltshift::simmesh {
@@ -23,19 +23,19 @@
     double share() const { return sent == 0 ? 1 : served / sent; }
 };
 
-Played play(const Scenario& scenario, const Guards& guards = {});
+Played play(const Scenario& scenario, const Safeguards& safeguards = {});
 
 class World {
 public:
     static constexpr Ip kOperator = 1;
 
-    World(const Fleet& fleet, const Guards& without);
+    World(const Fleet& fleet, const Safeguards& without);
     ~World();
     World(const World&) = delete;
 
     Timeline time;
     const Bounds bounds;
-    const Guards guards;
+    const Safeguards safeguards;
 
 private:
     const Fleet fleet_;
@@ -59,7 +59,7 @@
     Server* server(Ip ip);  // none: it has ended
     std::string service_of(Ip ip) const { return sites_.at(ip).service; }
     std::vector<Ip> hubs() const;  // as the operator knows them
-    std::vector<Ip> guard_ips() const;
+    std::vector<Ip> proxy_ips() const;
     Ip leader() const;  // 0: none
 
     // ---- What scenarios do. None of these from within a process' own call.
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -1,6 +1,6 @@
 #include "store/journal.hpp"
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 #include "store/fields.hpp"
 #include "store/sealed.hpp"
 
@@ -48,22 +48,22 @@
     return pair;
 }
 
-std::string entry_record(agree::Index index, const agree::Entry& entry) {
+std::string entry_record(raft::Index index, const raft::Entry& entry) {
     std::string bytes;
     protozero::pbf_writer w(bytes);
     w.add_uint64(1, index);
-    w.add_bytes(3, agree::encode(entry));
+    w.add_bytes(3, raft::encode(entry));
     return record(Kind::entry, bytes);
 }
 
 }  // namespace
 
-std::string records_of(const agree::Ready& ready) {
+std::string records_of(const raft::Ready& ready) {
     std::string bytes;
     if (ready.vote) bytes += record(Kind::vote, pair_of(ready.vote->term, ready.vote->voted));
     if (ready.from > 0) {
-        agree::Index index = ready.from;
-        for (const agree::Entry& entry : ready.entries) bytes += entry_record(index++, entry);
+        raft::Index index = ready.from;
+        for (const raft::Entry& entry : ready.entries) bytes += entry_record(index++, entry);
         if (ready.entries.empty()) {  // the tail goes and nothing follows
             std::string cut;
             protozero::pbf_writer w(cut);
@@ -74,19 +74,19 @@
     return bytes;
 }
 
-std::string records_of(const agree::Stored& stored) {
+std::string records_of(const raft::Stored& stored) {
     std::string bytes = record(Kind::life, pair_of(stored.fleet, stored.id)) +
                         record(Kind::starts, pair_of(stored.starts, 0)) +
                         record(Kind::vote, pair_of(stored.term, stored.voted)) +
-                        record(Kind::snapshot, agree::encode(stored.snapshot));
-    agree::Index index = stored.snapshot.index + 1;
-    for (const agree::Entry& entry : stored.entries) bytes += entry_record(index++, entry);
+                        record(Kind::snapshot, raft::encode(stored.snapshot));
+    raft::Index index = stored.snapshot.index + 1;
+    for (const raft::Entry& entry : stored.entries) bytes += entry_record(index++, entry);
     return bytes;
 }
 
 Replayed replay(std::string_view bytes) {
     Replayed result;
-    agree::Stored& s = result.stored;
+    raft::Stored& s = result.stored;
     if (bytes.empty()) return result;
     result.found = Replayed::Found::whole;
     bool life = false;
@@ -122,19 +122,19 @@
                     break;
                 }
                 case Kind::entry: {
-                    const Pair pair = pair_from(*body, agree::kMaxEntryBytes + 64);
-                    const agree::Index first = s.snapshot.index + 1;
+                    const Pair pair = pair_from(*body, raft::kMaxEntryBytes + 64);
+                    const raft::Index first = s.snapshot.index + 1;
                     if (pair.first < first || pair.first > first + s.entries.size())
                         return spoilt("an entry does not follow those before it");
                     s.entries.resize(pair.first - first);
                     if (pair.rest.empty()) break;
-                    const auto entry = agree::decode_entry(pair.rest);
+                    const auto entry = raft::decode_entry(pair.rest);
                     if (!entry) return spoilt("an entry can't be read");
                     s.entries.push_back(*entry);
                     break;
                 }
                 case Kind::snapshot: {
-                    auto snapshot = agree::decode_snapshot(*body);
+                    auto snapshot = raft::decode_snapshot(*body);
                     if (!snapshot) return spoilt("a snapshot can't be read");
                     s.snapshot = std::move(*snapshot);
                     s.entries.clear();
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -7,19 +7,19 @@
 #include <string>
 #include <string_view>
 
-#include "agree/keeper.hpp"
+#include "raft/raft_node.hpp"
 
 namespace cobaltshift::store {
 
 // Of all that is to be kept by `ready`, which has no snapshot: to be appended.
-std::string records_of(const agree::Ready& ready);
+std::string records_of(const raft::Ready& ready);
 // The file that leads to `stored` alone.
-std::string records_of(const agree::Stored& stored);
+std::string records_of(const raft::Stored& stored);
 
 struct Replayed {
     enum class Found { nothing, whole, torn, spoilt };
     Found found = Found::nothing;
-    agree::Stored stored;
+    raft::Stored stored;
     std::size_t good = 0;  // bytes up to the last whole record; behind it a torn tail
     std::string why;       // where spoilt
 };
--- a/src/store_io/folder.cpp
+++ b/src/store_io/folder.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <optional>
 
-#include "agree/codec.hpp"
+#include "raft/codec.hpp"
 #include "store/fields.hpp"
 #include "store/sealed.hpp"
 
@@ -165,7 +165,7 @@
                         std::tie(stored_.term, stored_.voted) = numbers_from(bytes);
                         break;
                     case Place::snapshot: {
-                        auto snapshot = agree::decode_snapshot(bytes);
+                        auto snapshot = raft::decode_snapshot(bytes);
                         if (!snapshot) return spoilt("its snapshot can't be read"), false;
                         stored_.snapshot = std::move(*snapshot);
                         break;
@@ -182,7 +182,7 @@
                 if (place != stored_.snapshot.index + 1 + stored_.entries.size())
                     return spoilt("entry " + std::to_string(place) + " does not follow those before it"),
                            false;
-                auto entry = agree::decode_entry(bytes);
+                auto entry = raft::decode_entry(bytes);
                 if (!entry) return spoilt("entry " + std::to_string(place) + " can't be read"), false;
                 stored_.entries.push_back(std::move(*entry));
                 return true;
@@ -193,7 +193,7 @@
     }
     constexpr unsigned kAll =
         1U << Place::life | 1U << Place::starts | 1U << Place::vote | 1U << Place::snapshot;
-    if (seen == kAll && stored_.id != agree::kNobody)
+    if (seen == kAll && stored_.id != raft::kNobody)
         found_ = Found::whole;
     else if (seen != 0 || !stored_.entries.empty())
         spoilt("a part of its state is missing");
@@ -210,7 +210,7 @@
     }
 }
 
-void Folder::begin(const agree::Stored& stored) {
+void Folder::begin(const raft::Stored& stored) {
     if (found_ != Found::nothing) {
         set_aside();
         open();
@@ -224,10 +224,10 @@
     put(sql.c_str(), Place::life, numbers(stored.fleet, stored.id));
     put(sql.c_str(), Place::starts, numbers(stored.starts, 0));
     put(sql.c_str(), Place::vote, numbers(stored.term, stored.voted));
-    put(sql.c_str(), Place::snapshot, agree::encode(stored.snapshot));
-    agree::Index index = stored.snapshot.index + 1;
-    for (const agree::Entry& entry : stored.entries)
-        put("INSERT INTO entries VALUES (?1, ?2)", index++, agree::encode(entry));
+    put(sql.c_str(), Place::snapshot, raft::encode(stored.snapshot));
+    raft::Index index = stored.snapshot.index + 1;
+    for (const raft::Entry& entry : stored.entries)
+        put("INSERT INTO entries VALUES (?1, ?2)", index++, raft::encode(entry));
     run("COMMIT");
     ++transactions_;
     found_ = Found::whole;
@@ -251,15 +251,15 @@
     if (sqlite3_step(statement.get()) != SQLITE_DONE) fail(sql);
 }
 
-void Folder::keep(const agree::Ready& ready) {
+void Folder::keep(const raft::Ready& ready) {
     if (!ready.writes()) return;
     const char* put_state = "REPLACE INTO state VALUES (?1, ?2)";
     run("BEGIN IMMEDIATE");
     try {
         if (ready.vote) put(put_state, Place::vote, numbers(ready.vote->term, ready.vote->voted));
-        agree::Index index = ready.from;
+        raft::Index index = ready.from;
         if (ready.snapshot) {
-            put(put_state, Place::snapshot, agree::encode(*ready.snapshot));
+            put(put_state, Place::snapshot, raft::encode(*ready.snapshot));
             index = 0;
         }
         if (ready.snapshot || ready.from > 0) {
@@ -267,8 +267,8 @@
             sqlite3_bind_int64(cut.get(), 1, static_cast<sqlite3_int64>(index));
             if (sqlite3_step(cut.get()) != SQLITE_DONE) fail("entries can't be cut");
             if (ready.snapshot) index = ready.snapshot->index + 1;
-            for (const agree::Entry& entry : ready.entries)
-                put("INSERT INTO entries VALUES (?1, ?2)", index++, agree::encode(entry));
+            for (const raft::Entry& entry : ready.entries)
+                put("INSERT INTO entries VALUES (?1, ?2)", index++, raft::encode(entry));
         }
         run("COMMIT");
     } catch (const FolderError&) {
--- a/src/store_io/folder.hpp
+++ b/src/store_io/folder.hpp
@@ -1,5 +1,5 @@
 // A keeper's folder on a real disk: one SQLite database (WAL, synchronous=FULL), held by one process at a
-// time. What agree::Ready asks to be kept is one transaction; once keep() has returned it is synced. Every
+// time. What raft::Ready asks to be kept is one transaction; once keep() has returned it is synced. Every
 // row is sealed together with its place, so that a row gone bad or moved is told from one that was written
 // so: a spoilt folder never votes. Entry type: Folder. Called by lease::KeeperNode alone.
 //
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "agree/keeper.hpp"
+#include "raft/raft_node.hpp"
 
 struct sqlite3;
 
@@ -41,15 +41,15 @@
     Found found() const { return found_; }
     const std::string& why() const { return why_; }  // where spoilt
     // Of a whole folder: what it holds. Moved from once.
-    agree::Stored take_stored() { return std::move(stored_); }
+    raft::Stored take_stored() { return std::move(stored_); }
 
     // A new life: all that was there is set aside (the last such, as `former.db`), then `stored` is kept.
-    void begin(const agree::Stored& stored);
+    void begin(const raft::Stored& stored);
     // Another run of the life that is kept; synced before anything is said under it. Its number.
     std::uint64_t start();
     // All of `ready` that is to be kept, in one transaction, synced. Throws FolderError: nothing of it
     // counts.
-    void keep(const agree::Ready& ready);
+    void keep(const raft::Ready& ready);
 
     const std::string& path() const { return path_; }
     std::uint64_t transactions() const { return transactions_; }  // each one sync of the log
@@ -69,7 +69,7 @@
     std::unique_ptr<sqlite3, Close> db_;
     Found found_ = Found::nothing;
     std::string why_;
-    agree::Stored stored_;
+    raft::Stored stored_;
     std::uint64_t starts_ = 0, transactions_ = 0;
 };
 
--- a/tests/lease_io_test.cpp
+++ b/tests/lease_io_test.cpp
@@ -7,10 +7,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "agree/codec.hpp"
 #include "lease_io/ask.hpp"
 #include "lease_io/keeper_node.hpp"
 #include "lease_io/rights.hpp"
+#include "raft/codec.hpp"
 #include "store_io/folder.hpp"
 
 namespace cobaltshift {
@@ -37,12 +37,10 @@
     std::string path;
 };
 
-agree::Entry entry(agree::Term term, const std::string& data) {
-    return {term, agree::Entry::Kind::data, data};
-}
+raft::Entry entry(raft::Term term, const std::string& data) { return {term, raft::Entry::Kind::data, data}; }
 
-agree::Ready entries_from(agree::Index from, std::vector<agree::Entry> entries) {
-    agree::Ready ready;
+raft::Ready entries_from(raft::Index from, std::vector<raft::Entry> entries) {
+    raft::Ready ready;
     ready.from = from;
     ready.entries = std::move(entries);
     return ready;
@@ -59,10 +57,10 @@
 // A folder with a vote, three entries and the fourth replaced.
 void fill(const Place& place) {
     Folder folder(place.path);
-    folder.begin(agree::founded(7, 1, 3));
+    folder.begin(raft::bootstrap(7, 1, 3));
     EXPECT_EQ(folder.start(), 1U);
-    agree::Ready first = entries_from(1, {entry(1, "a"), entry(1, "b"), entry(1, "c"), entry(1, "d")});
-    first.vote = agree::Stored{};
+    raft::Ready first = entries_from(1, {entry(1, "a"), entry(1, "b"), entry(1, "c"), entry(1, "d")});
+    first.vote = raft::Stored{};
     first.vote->term = 2, first.vote->voted = 3;
     folder.keep(first);
     folder.keep(entries_from(4, {entry(2, "e")}));
@@ -74,33 +72,33 @@
     {
         Folder folder(place.path);
         ASSERT_EQ(folder.found(), Folder::Found::whole) << folder.why();
-        agree::Stored stored = folder.take_stored();
+        raft::Stored stored = folder.take_stored();
         EXPECT_EQ(stored.fleet, 7U);
         EXPECT_EQ(stored.id, 2U);
         EXPECT_EQ(stored.starts, 1U);
         EXPECT_EQ(stored.term, 2U);
         EXPECT_EQ(stored.voted, 3U);
-        EXPECT_EQ(stored.snapshot, agree::founded(7, 1, 3).snapshot);
+        EXPECT_EQ(stored.snapshot, raft::bootstrap(7, 1, 3).snapshot);
         EXPECT_EQ(stored.entries, (std::vector{entry(1, "a"), entry(1, "b"), entry(1, "c"), entry(2, "e")}));
         EXPECT_EQ(folder.start(), 2U);
-        agree::Ready snapshot;
-        snapshot.snapshot = agree::Snapshot{3, 1, stored.snapshot.members, "book"};
+        raft::Ready snapshot;
+        snapshot.snapshot = raft::Snapshot{3, 1, stored.snapshot.members, "book"};
         snapshot.entries = {entry(2, "e"), entry(2, "f")};
         folder.keep(snapshot);
         folder.keep(entries_from(5, {}));  // the tail goes and nothing follows
     }
     {
         Folder folder(place.path);
-        const agree::Stored stored = folder.take_stored();
+        const raft::Stored stored = folder.take_stored();
         EXPECT_EQ(stored.starts, 2U);
         EXPECT_EQ(stored.term, 2U);
         EXPECT_EQ(stored.snapshot.data, "book");
         EXPECT_EQ(stored.entries, std::vector{entry(2, "e")});
-        folder.begin(agree::newcomer(7, agree::kFirstDrawn + 5));
+        folder.begin(raft::newcomer(7, raft::kFirstDrawn + 5));
         EXPECT_TRUE(std::filesystem::exists(place.path + "/former.db"));
     }
     Folder folder(place.path);
-    EXPECT_EQ(folder.take_stored().id, agree::kFirstDrawn + 5);
+    EXPECT_EQ(folder.take_stored().id, raft::kFirstDrawn + 5);
 }
 
 TEST(Folder, IsHeldByOneProcess) {
@@ -133,7 +131,7 @@
         place.write("keeper.db", std::string(9000, 'x'));
         Folder folder(place.path);
         EXPECT_EQ(folder.found(), Folder::Found::spoilt);
-        folder.begin(agree::newcomer(7, agree::kFirstDrawn));  // and is usable again as another's
+        folder.begin(raft::newcomer(7, raft::kFirstDrawn));  // and is usable again as another's
         EXPECT_EQ(folder.start(), 1U);
     }
     Place place;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -2,11 +2,11 @@
 // messages; and days under every fault.
 #include <gtest/gtest.h>
 
-#include "agree/codec.hpp"
 #include "lease/codec.hpp"
 #include "lease/gate.hpp"
 #include "lease/holder.hpp"
 #include "lease/office.hpp"
+#include "raft/codec.hpp"
 #include "sim/lease_days.hpp"
 #include "sim/models/holder.hpp"
 #include "sim/scene.hpp"
@@ -16,37 +16,37 @@
 namespace cobaltshift {
 namespace {
 
-using agree::Keeper;
-using agree::Message;
+using raft::Message;
+using raft::RaftNode;
 
 // Keepers wired straight to one another: what they keep lasts, what they send waits in `wire` until passed
 // on.
 struct Bench {
     explicit Bench(std::uint32_t keepers) : count(keepers) {
-        for (std::uint32_t n = 0; n < keepers; ++n) disks.push_back(agree::founded(7, n, keepers));
+        for (std::uint32_t n = 0; n < keepers; ++n) disks.push_back(raft::bootstrap(7, n, keepers));
         all.resize(keepers);
         for (std::uint32_t n = 0; n < keepers; ++n) start(n);
     }
-    agree::Settings settings(std::uint32_t n) const {
-        agree::Settings s;
+    raft::Settings settings(std::uint32_t n) const {
+        raft::Settings s;
         s.fleet = 7, s.number = n, s.keepers = count;
         return s;
     }
     void start(std::uint32_t n) {
         ++disks[n].starts;
-        all[n] = std::make_unique<Keeper>(settings(n), disks[n], now, 1000 + n + 100 * disks[n].starts);
+        all[n] = std::make_unique<RaftNode>(settings(n), disks[n], now, 1000 + n + 100 * disks[n].starts);
     }
     void settle(std::uint32_t n) {
-        while (all[n] && all[n]->ready()) {
-            agree::Ready ready = all[n]->take();
-            agree::Stored& disk = disks[n];
+        while (all[n] && all[n]->has_ready()) {
+            raft::Ready ready = all[n]->take_ready();
+            raft::Stored& disk = disks[n];
             if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
             if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
             if (ready.from > 0) {
                 disk.entries.resize(ready.from - disk.snapshot.index - 1);
                 disk.entries.insert(disk.entries.end(), ready.entries.begin(), ready.entries.end());
             }
-            all[n]->stored();
+            all[n]->persisted();
             for (Message& m : ready.messages) wire.push_back(std::move(m));
             for (const auto& one : ready.committed) applied[n].push_back(one.entry.data);
             for (const std::uint64_t q : ready.confirmed) confirmed.push_back(q);
@@ -63,7 +63,7 @@
                 Message to = m;
                 to.to_number = n;
                 if (!passes(to)) continue;
-                all[n]->heard(now, m);
+                all[n]->on_message(now, m);
                 settle(n);
             }
         }
@@ -88,8 +88,8 @@
 
     std::uint32_t count;
     double now = 0;
-    std::vector<agree::Stored> disks;
-    std::vector<std::unique_ptr<Keeper>> all;
+    std::vector<raft::Stored> disks;
+    std::vector<std::unique_ptr<RaftNode>> all;
     std::deque<Message> wire;
     std::set<std::pair<std::uint32_t, std::uint32_t>> cut;
     std::map<std::uint32_t, std::vector<std::string>> applied;
@@ -107,7 +107,7 @@
     EXPECT_EQ(bench.applied[1], bench.applied[0]);
     EXPECT_EQ(bench.applied[2], bench.applied[0]);
     EXPECT_FALSE(bench.all[(leader + 1) % 3]->propose("from a follower"));
-    EXPECT_FALSE(bench.all[leader]->propose(std::string(agree::kMaxEntryBytes + 1, 'x')));
+    EXPECT_FALSE(bench.all[leader]->propose(std::string(raft::kMaxEntryBytes + 1, 'x')));
 }
 
 TEST(Agreement, ALeaderCutOffStepsDownAndItsTailGivesWay) {
@@ -167,7 +167,7 @@
     for (int i = 0; i < 10; ++i) bench.all[leader]->propose("x");
     bench.pass(500);
     const auto former = bench.all[lost]->id();
-    bench.disks[lost] = agree::newcomer(7, agree::kFirstDrawn + 99);
+    bench.disks[lost] = raft::newcomer(7, raft::kFirstDrawn + 99);
     bench.applied[lost].clear();
     bench.start(lost);
     // Before it is a member it votes for nobody's sake: what it says counts nowhere.
@@ -193,7 +193,7 @@
     Bench bench(3);
     bench.pass(3000);
     const int leader = bench.leader(), back = (leader + 1) % 3;
-    const agree::Stored copy = bench.disks[back];
+    const raft::Stored copy = bench.disks[back];
     for (int i = 0; i < 10; ++i) bench.all[leader]->propose("x");
     bench.pass(500);
     bench.disks[back] = copy;  // an hour ago, say
@@ -205,18 +205,18 @@
 
 TEST(Agreement, ALaterRunWithALowerTermIsToldToGoByWhoeverRemembers) {
     Bench names(3);
-    agree::Stored disk = agree::founded(7, 0, 3);
+    raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
-    Keeper keeper(names.settings(0), disk, 0, 5);
-    const auto says = [&](std::uint64_t starts, std::uint64_t draw, agree::Term term) {
+    RaftNode keeper(names.settings(0), disk, 0, 5);
+    const auto says = [&](std::uint64_t starts, std::uint64_t draw, raft::Term term) {
         Message m;
         m.kind = Message::Kind::ask_vote, m.fleet = 7, m.from = 2, m.to = 1, m.number = 1;
         m.run = {starts, draw}, m.term = term;
-        keeper.heard(0, m);
+        keeper.on_message(0, m);
         std::vector<Message> out;
-        while (keeper.ready()) {
-            for (Message& one : keeper.take().messages) out.push_back(std::move(one));
-            keeper.stored();
+        while (keeper.has_ready()) {
+            for (Message& one : keeper.take_ready().messages) out.push_back(std::move(one));
+            keeper.persisted();
         }
         return out.empty() ? Message::Kind::join : out.back().kind;
     };
@@ -281,31 +281,31 @@
 
 // Figure 8 of the paper: an entry of an earlier term on a majority is not committed by counting alone.
 TEST(Agreement, EntriesOfEarlierTermsCommitOnlyUnderOneOfTheOwn) {
-    agree::Stored disk = agree::founded(7, 0, 3);
+    raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1, disk.term = 2;
-    disk.entries = {{2, agree::Entry::Kind::data, "old"}};
+    disk.entries = {{2, raft::Entry::Kind::data, "old"}};
     Bench names(3);
-    Keeper keeper(names.settings(0), disk, 0, 5);
+    RaftNode keeper(names.settings(0), disk, 0, 5);
     const auto drain = [&] {
         std::vector<Message> out;
-        while (keeper.ready()) {
-            auto ready = keeper.take();
-            keeper.stored();
+        while (keeper.has_ready()) {
+            auto ready = keeper.take_ready();
+            keeper.persisted();
             for (auto& m : ready.messages) out.push_back(std::move(m));
         }
         return out;
     };
-    const auto say = [&](Message::Kind kind, agree::Term term, agree::Index index) {
+    const auto say = [&](Message::Kind kind, raft::Term term, raft::Index index) {
         Message m;
         m.kind = kind, m.fleet = 7, m.from = 2, m.to = 1, m.number = 1, m.run = {1, 1};
         m.term = term, m.ok = true, m.index = index, m.last = index;
-        keeper.heard(3000, m);
+        keeper.on_message(3000, m);
     };
     keeper.tick(3000);
     drain();
     say(Message::Kind::prevote, 3, 0);
     say(Message::Kind::vote, 3, 0);
-    ASSERT_EQ(keeper.role(), Keeper::Role::leader);
+    ASSERT_EQ(keeper.role(), RaftNode::Role::leader);
     drain();
     say(Message::Kind::appended, 3, 1);
     EXPECT_EQ(keeper.commit(), 0U) << "on a majority, and not committed";
@@ -315,48 +315,48 @@
 }
 
 TEST(Agreement, AVoteIsKeptBeforeItIsSaidAndIsOneATerm) {
-    agree::Stored disk = agree::founded(7, 0, 3);
+    raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
     Bench names(3);
-    const auto ask = [](agree::KeeperId from) {
+    const auto ask = [](raft::MemberId from) {
         Message m;
         m.kind = Message::Kind::ask_vote, m.fleet = 7, m.from = from, m.to = 1;
         m.number = static_cast<std::uint32_t>(from - 1), m.run = {1, from}, m.term = 4;
         return m;
     };
-    Keeper keeper(names.settings(0), disk, 0, 5);
-    keeper.heard(0, ask(2));
-    auto ready = keeper.take();
+    RaftNode keeper(names.settings(0), disk, 0, 5);
+    keeper.on_message(0, ask(2));
+    auto ready = keeper.take_ready();
     ASSERT_TRUE(ready.vote);
     EXPECT_EQ(ready.vote->term, 4U);
     EXPECT_EQ(ready.vote->voted, 2U);
     ASSERT_EQ(ready.messages.size(), 1U);
     EXPECT_TRUE(ready.messages[0].ok);
     disk.term = ready.vote->term, disk.voted = ready.vote->voted, disk.starts = 2;
-    Keeper again(names.settings(0), disk, 0, 6);  // died after it had said so
-    again.heard(0, ask(3));
-    ready = again.take();
+    RaftNode again(names.settings(0), disk, 0, 6);  // died after it had said so
+    again.on_message(0, ask(3));
+    ready = again.take_ready();
     ASSERT_EQ(ready.messages.size(), 1U);
     EXPECT_FALSE(ready.messages[0].ok);
 }
 
 TEST(Agreement, ALogThatMakesNoSenseIsRefused) {
     Bench names(3);
-    agree::Stored disk = agree::founded(7, 0, 3);
+    raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.term = 3;
-    disk.entries = {{2, agree::Entry::Kind::nothing, ""}, {1, agree::Entry::Kind::nothing, ""}};
-    EXPECT_THROW(Keeper(names.settings(0), disk, 0, 5), agree::Broken);
-    disk.entries = {{4, agree::Entry::Kind::nothing, ""}};
-    EXPECT_THROW(Keeper(names.settings(0), disk, 0, 5), agree::Broken);
+    disk.entries = {{2, raft::Entry::Kind::nothing, ""}, {1, raft::Entry::Kind::nothing, ""}};
+    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::Broken);
+    disk.entries = {{4, raft::Entry::Kind::nothing, ""}};
+    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::Broken);
 }
 
 // ---- What is kept ----------------------------------------------------------------------------------------
 
-agree::Stored some_stored() {
-    agree::Stored s = agree::founded(7, 1, 3);
+raft::Stored some_stored() {
+    raft::Stored s = raft::bootstrap(7, 1, 3);
     s.starts = 4, s.term = 9, s.voted = 2;
     s.snapshot.index = 5, s.snapshot.term = 3, s.snapshot.data = "book";
-    s.entries = {{4, agree::Entry::Kind::data, "a"}, {9, agree::Entry::Kind::nothing, ""}};
+    s.entries = {{4, raft::Entry::Kind::data, "a"}, {9, raft::Entry::Kind::nothing, ""}};
     return s;
 }
 
@@ -377,9 +377,9 @@
         EXPECT_EQ(store::replay(rotten).found, store::Replayed::Found::spoilt) << "rotten at " << n;
     }
     // A later entry replaces those from its index on.
-    agree::Ready ready;
+    raft::Ready ready;
     ready.from = 7;
-    ready.entries = {{10, agree::Entry::Kind::data, "b"}};
+    ready.entries = {{10, raft::Entry::Kind::data, "b"}};
     const auto more = store::replay(whole + store::records_of(ready));
     ASSERT_EQ(more.stored.entries.size(), 2U);
     EXPECT_EQ(more.stored.entries[1].data, "b");
@@ -391,15 +391,15 @@
 TEST(Hostile, MessagesOfKeepersHoldersAndBooks) {
     Message m;
     m.kind = Message::Kind::append, m.fleet = 7, m.from = 2, m.to = 1, m.term = 3;
-    m.entries = {{3, agree::Entry::Kind::data, "abc"}};
-    const std::string good = agree::encode(m);
+    m.entries = {{3, raft::Entry::Kind::data, "abc"}};
+    const std::string good = raft::encode(m);
     std::string why;
-    ASSERT_TRUE(agree::decode_message(good, why));
+    ASSERT_TRUE(raft::decode_message(good, why));
     for (std::size_t n = 0; n < good.size(); ++n) {
-        EXPECT_FALSE(agree::decode_message(good.substr(0, n), why)) << "cut at " << n;
+        EXPECT_FALSE(raft::decode_message(good.substr(0, n), why)) << "cut at " << n;
         std::string bent = good;
         bent[n] = static_cast<char>(bent[n] ^ 1);
-        EXPECT_FALSE(agree::decode_message(bent, why)) << "bent at " << n;
+        EXPECT_FALSE(raft::decode_message(bent, why)) << "bent at " << n;
     }
     const auto raw = [](std::initializer_list<int> bytes) {
         std::string text;
@@ -425,14 +425,13 @@
          "a member is nobody"},
         {"a tag of no field", raw({0x08, 1, 0x00}), "a field's tag can't be read"},
         {"a snapshot's message without one", raw({0x08, 1, 0x10, 6, 0x20, 1}), "the snapshot is missing"},
-        {"longer than any", std::string(agree::kMaxMessageBytes + 1, 'x'), "it is too long"},
+        {"longer than any", std::string(raft::kMaxMessageBytes + 1, 'x'), "it is too long"},
     };
     for (const auto& row : rows) {
-        EXPECT_FALSE(agree::decode_message(row.bytes, why)) << row.what;
+        EXPECT_FALSE(raft::decode_message(row.bytes, why)) << row.what;
         EXPECT_EQ(why, row.why) << row.what;
     }
-    EXPECT_TRUE(agree::decode_message(raw({0x08, 1, 0x20, 1, 0xf8, 1, 5}), why))
-        << "a field of a newer build";
+    EXPECT_TRUE(raft::decode_message(raw({0x08, 1, 0x20, 1, 0xf8, 1, 5}), why)) << "a field of a newer build";
     lease::Question q;
     q.holder = 3, q.task = "t";
     ASSERT_TRUE(lease::decode_question(lease::encode(q), why));
@@ -454,12 +453,12 @@
     bench.pass(3000);
     const int leader = bench.leader(), other = (leader + 1) % 3;
     Message m;
-    m.kind = Message::Kind::append, m.from = static_cast<agree::KeeperId>(leader + 1),
+    m.kind = Message::Kind::append, m.from = static_cast<raft::MemberId>(leader + 1),
     m.number = static_cast<std::uint32_t>(leader);
     m.to = bench.all[other]->id(), m.term = 99, m.run = {1, 0}, m.fleet = 8;
     const auto term = bench.all[other]->term();
     const auto try_it = [&](const char* what) {
-        bench.all[other]->heard(bench.now, m);
+        bench.all[other]->on_message(bench.now, m);
         EXPECT_EQ(bench.all[other]->term(), term) << what;
         EXPECT_FALSE(bench.all[other]->retired()) << what;
     };
@@ -607,7 +606,7 @@
         one.holder = 1'000'000 + n;
         if (n < lease::kMaxTasks) book.apply(one);
     }
-    EXPECT_LT(book.save().size(), agree::kMaxSnapshotBytes);
+    EXPECT_LT(book.save().size(), raft::kMaxSnapshotBytes);
     lease::Book again;
     EXPECT_TRUE(again.load(book.save()));
     EXPECT_EQ(again.tasks().size(), lease::kMaxTasks);
--- a/tests/mesh/beats_test.cpp
+++ b/tests/mesh/beats_test.cpp
@@ -1,12 +1,12 @@
 // The servers' calls as values: what a beat must look like, what is answered, and who hears of it.
-#include "guard/beats.hpp"
+#include "proxy/beats.hpp"
 
 #include <doctest/doctest.h>
 
-#include "crossing/crossing.hpp"
+#include "admission/admission.hpp"
 
 using namespace cobaltshift;
-using namespace cobaltshift::guard;
+using namespace cobaltshift::proxy;
 
 namespace {
 
@@ -158,14 +158,14 @@
     CHECK(least->call_seq == 0);
 }
 
-// As the guard has them: a late one is answered like the others, and changes nothing.
+// As the proxy has them: a late one is answered like the others, and changes nothing.
 TEST_CASE("beats: a late beat is acknowledged and changes nothing") {
-    crossing::Crossing crossing;
+    admission::Admission admission;
     std::vector<bool> taken;
     Beats beats({[&](const Beat& beat) {
-                     taken.push_back(crossing.beat(beat.life, beat.capacity, beat.closing, beat.call_seq));
+                     taken.push_back(admission.beat(beat.life, beat.capacity, beat.closing, beat.call_seq));
                  },
-                 [&](const std::string& life) { crossing.gone(life); }});
+                 [&](const std::string& life) { admission.gone(life); }});
     unsigned status = 0;
     const auto put = [&](const std::string& body) {
         beats.handle({"PUT", "/api/servers/i-1", body, "", ""},
@@ -176,7 +176,7 @@
              "\"state\":\"closing\",\"warmup_left_s\":0,\"call_seq\":5"));
     put(kBeat);
     CHECK(taken == std::vector<bool>{true, false});
-    CHECK(crossing.closing());
+    CHECK(admission.closing());
 }
 
 TEST_CASE("beats: ready is said by status alone, to GET alone") {
--- a/tests/mesh/checkers_test.cpp
+++ b/tests/mesh/checkers_test.cpp
@@ -1,4 +1,4 @@
-// Each checker of the users' rules is seen red once: a guard is taken out of the model, and exactly the
+// Each checker of the users' rules is seen red once: a safeguard is taken out of the model, and exactly the
 // checker of the rule that it kept speaks. The same scenario is green with it.
 #include <doctest/doctest.h>
 
@@ -10,84 +10,85 @@
 
 namespace {
 
-std::set<std::string> rules_broken(const std::string& text, const Guards& guards) {
+std::set<std::string> rules_broken(const std::string& text, const Safeguards& safeguards) {
     std::set<std::string> all;
-    const Played played = play(read_scenario("checkers", text + "\nmust rules"), guards);
+    const Played played = play(read_scenario("checkers", text + "\nmust rules"), safeguards);
     for (const Finding& finding : played.findings) all.insert(finding.rule);
     return all;
 }
 
-void check_red(const std::string& rule, const std::string& text, bool Guards::*guard) {
-    Guards without;
-    without.*guard = false;
+void check_red(const std::string& rule, const std::string& text, bool Safeguards::*safeguard) {
+    Safeguards without;
+    without.*safeguard = false;
     CHECK(rules_broken(text, {}) == std::set<std::string>{});
     CHECK(rules_broken(text, without) == std::set<std::string>{rule});
 }
 
-const std::string kFleet = "fleet guards=6 hubs=3 zones=3 services=2 seed=3\nat 1 put\n";
+const std::string kFleet = "fleet proxies=6 hubs=3 zones=3 services=2 seed=3\nat 1 put\n";
 const std::string kTraffic = kFleet + "traffic plain=40 registered=40 from=4 to=24\n";
 
 }  // namespace
 
 TEST_CASE("TWICE: the caller's side repeats registered requests") {
-    check_red("TWICE", kTraffic + "at 8 lose service 0 reset share=0.5 for=8", &Guards::registered_once);
+    check_red("TWICE", kTraffic + "at 8 lose service 0 reset share=0.5 for=8", &Safeguards::registered_once);
 }
 
-// The second line: where the caller's side fails, the crossing keeps the promise at its own server.
-TEST_CASE("TWICE: the crossing forgets ids") {
+// The second line: where the caller's side fails, the admission keeps the promise at its own server.
+TEST_CASE("TWICE: the admission forgets ids") {
     const std::string text =
-        "fleet guards=2 hubs=3 zones=1 services=2 seed=3 slack=200\nat 1 put\n"
+        "fleet proxies=2 hubs=3 zones=1 services=2 seed=3 slack=200\nat 1 put\n"
         "traffic registered=40 from=4 to=24\nat 8 lose service 1 reset share=0.5 for=8\nmust rules";
-    Guards without;
+    Safeguards without;
     without.registered_once = false;
     CHECK(rules_broken(text, without) == std::set<std::string>{});
-    without.once_at_crossing = false;
+    without.once_at_admission = false;
     CHECK(rules_broken(text, without) == std::set<std::string>{"TWICE"});
 }
 
-TEST_CASE("UNASKED: the caller isn't named") { check_red("UNASKED", kTraffic, &Guards::caller_named); }
+TEST_CASE("UNASKED: the caller isn't named") { check_red("UNASKED", kTraffic, &Safeguards::caller_named); }
 
 TEST_CASE("MIXED: ids of answers aren't compared") {
-    check_red("MIXED", kTraffic + "at 8 lose service 0 extra share=0.5 for=8", &Guards::ids_compared);
+    check_red("MIXED", kTraffic + "at 8 lose service 0 extra share=0.5 for=8", &Safeguards::ids_compared);
 }
 
 TEST_CASE("REFUSED: a failure that may have run is told as a refusal") {
-    check_red("REFUSED", kTraffic + "at 8 lose service 0 reset share=0.5 for=8", &Guards::proof_of_refusal);
+    check_red("REFUSED", kTraffic + "at 8 lose service 0 reset share=0.5 for=8",
+              &Safeguards::proof_of_refusal);
 }
 
 TEST_CASE("ROUTE: nobody asks for the life that was meant") {
-    check_red("ROUTE", kTraffic + "at 8 loss 1 for=14; close guard 0 service=1 for=2",
-              &Guards::life_expected);
+    check_red("ROUTE", kTraffic + "at 8 loss 1 for=14; close proxy 0 service=1 for=2",
+              &Safeguards::life_expected);
 }
 
 TEST_CASE("DRAIN: an acknowledged closing is forgotten") {
-    check_red("DRAIN", kTraffic + "at 10 close guard 1 for=2", &Guards::closing_at_crossing);
+    check_red("DRAIN", kTraffic + "at 10 close proxy 1 for=2", &Safeguards::closing_at_admission);
 }
 
-TEST_CASE("CONFIG: news of a timetable isn't followed") {
-    check_red("CONFIG", kTraffic + "at 10 put", &Guards::fetches);
+TEST_CASE("CONFIG: news of a configuration isn't followed") {
+    check_red("CONFIG", kTraffic + "at 10 put", &Safeguards::fetches);
 }
 
-TEST_CASE("CONFIG: an older timetable is taken") {
+TEST_CASE("CONFIG: an older configuration is taken") {
     check_red("CONFIG", kTraffic + "at 10 cut follower from=hubs for=6\nat 11 put\nat 12 put\nat 13 put",
-              &Guards::newer_only);
+              &Safeguards::newer_only);
 }
 
 TEST_CASE("LOST: a hub acknowledges before a majority has it") {
     check_red("LOST", kFleet + "at 9 disk leader slow for=3\nat 10 on_ack wipe leader for=1\nat 10 put",
-              &Guards::commit_first);
+              &Safeguards::commit_first);
 }
 
 TEST_CASE("CONFIG: a change that is invalid or late is acknowledged") {
-    check_red("CONFIG", kTraffic + "at 10 put operator=2 invalid", &Guards::checks_changes);
+    check_red("CONFIG", kTraffic + "at 10 put operator=2 invalid", &Safeguards::checks_changes);
 }
 
 TEST_CASE("BUDGET: further tries aren't counted") {
     check_red("BUDGET", kFleet + "traffic plain=100 from=4 to=34\nat 8 lose service 0 reset share=0.9 for=14",
-              &Guards::budget);
+              &Safeguards::budget);
 }
 
-TEST_CASE("RECOVER: guards that come back never find their servers") {
-    check_red("RECOVER", kTraffic + "traffic plain=10 from=24 to=40\nat 10 kill guards for=1",
-              &Guards::hears_beats);
+TEST_CASE("RECOVER: proxies that come back never find their servers") {
+    check_red("RECOVER", kTraffic + "traffic plain=10 from=24 to=40\nat 10 kill proxies for=1",
+              &Safeguards::hears_beats);
 }
--- a/tests/mesh/timetable_test.cpp
+++ b/tests/mesh/config_test.cpp
@@ -1,15 +1,14 @@
-// The timetable: which route a request takes, what is read and what is refused, and how versions travel.
-#include "timetable/timetable.hpp"
-
+// The configuration: which route a request takes, what is read and what is refused, and how versions travel.
 #include <doctest/doctest.h>
 #include <json/json.h>
 
 #include <random>
 
-#include "timetable/codec.hpp"
-#include "timetable/parse.hpp"
+#include "config/codec.hpp"
+#include "config/configuration.hpp"
+#include "config/parse.hpp"
 
-using namespace cobaltshift::timetable;
+using namespace cobaltshift::config;
 
 namespace {
 
@@ -36,10 +35,10 @@
 
 std::string text(const Json::Value& value) { return Json::FastWriter().write(value); }
 
-std::shared_ptr<const Timetable> example() {
+std::shared_ptr<const Configuration> example() {
     const Parsed parsed = read_whole(kExample, 0);
-    REQUIRE(parsed.timetable);
-    return parsed.timetable;
+    REQUIRE(parsed.configuration);
+    return parsed.configuration;
 }
 
 // What the example becomes with `change` made to it.
@@ -51,7 +50,7 @@
 }
 
 bool complains(const Parsed& parsed, const std::string& what) {
-    if (parsed.timetable) return false;
+    if (parsed.configuration) return false;
     for (const std::string& complaint : parsed.complaints)
         if (complaint.find(what) != std::string::npos) return true;
     return false;
@@ -61,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("timetable: the longest prefix of the host wins, whatever the host's case and port") {
+TEST_CASE("configuration: the longest prefix of the host wins, whatever the host's case and port") {
     const auto t = example();
     CHECK(name_of(t->find("jepu9.example", "/lepu270/2f")) == "r-xd9dnn2");
     CHECK(name_of(t->find("JEPU9.Example:8080", "/lepu270/")) == "r-xd9dnn2");
@@ -78,10 +77,10 @@
     CHECK(name_of(t->find("jepu9.example", "lepu270/")) == "none");
 }
 
-TEST_CASE("timetable: find agrees with trying every route") {
+TEST_CASE("configuration: find agrees with trying every route") {
     std::mt19937 lots(7);
     const auto piece = [&] { return std::string(1, static_cast<char>('a' + lots() % 3)) + "/"; };
-    Timetable t;
+    Configuration t;
     t.edition = 1;
     for (int i = 0; i < 200; ++i) {
         Route route;
@@ -109,7 +108,7 @@
     }
 }
 
-TEST_CASE("timetable: all that a route says is read") {
+TEST_CASE("configuration: all that a route says is read") {
     const auto t = example();
     const Route& route = t->routes.at("r-xd9dnn2");
     CHECK(t->edition == 7);
@@ -129,20 +128,20 @@
     CHECK(t->limits.idle_timeout_ms == 15000);
 }
 
-TEST_CASE("timetable: what was sent is read back, unknown fields too") {
+TEST_CASE("configuration: what was sent is read back, unknown fields too") {
     CHECK(json(to_json(*example())) == json(kExample));
     for (const char* other :
          {"5", "-0.25", "\"a \\\" b\"", "null", "true", "[1,{\"a\":2}]", "\"\\u0000 \xc3\xa9\""}) {
         const std::string sent = kExample.substr(0, kExample.size() - 1) + ", \"other\" : " + other + " }";
         const Parsed parsed = read_whole(sent, 0);
-        REQUIRE(parsed.timetable);
-        CHECK(json(to_json(*parsed.timetable)) == json(sent));
+        REQUIRE(parsed.configuration);
+        CHECK(json(to_json(*parsed.configuration)) == json(sent));
     }
 }
 
-TEST_CASE("timetable: each form of an invalid configuration is refused, with its place") {
+TEST_CASE("configuration: each form of an invalid configuration is refused, with its place") {
     const auto route = [](Json::Value& v) -> Json::Value& { return v["routes"]["r-xd9dnn2"]; };
-    CHECK(with([](auto&) {}).timetable);
+    CHECK(with([](auto&) {}).configuration);
     CHECK(complains(with([&](auto& v) { v["routes"]["r-ctnfzs9"]["service"] = "nobody"; }),
                     "routes.r-ctnfzs9"));
     CHECK(complains(with([&](auto& v) { route(v)["split"][0]["service"] = "nobody"; }), "'nobody'"));
@@ -160,7 +159,7 @@
     CHECK(complains(with([&](auto& v) { route(v)["deadline_s"] = 0; }), "routes.r-xd9dnn2.deadline_s"));
     CHECK(complains(with([&](auto& v) { route(v)["deadline_s"] = -1; }), "deadline_s"));
     CHECK(complains(with([&](auto& v) { route(v)["deadline_s"] = 600.001; }), "deadline_s"));
-    CHECK(with([&](auto& v) { route(v)["deadline_s"] = 600; }).timetable);
+    CHECK(with([&](auto& v) { route(v)["deadline_s"] = 600; }).configuration);
     CHECK(complains(with([&](auto& v) { route(v)["deadline_s"] = "2"; }), "deadline_s"));
     CHECK(complains(with([&](auto& v) { v["edition"] = "r6"; }), "edition"));
     CHECK(complains(with([&](auto& v) { v["edition"] = "r5"; }), "edition"));
@@ -171,7 +170,7 @@
     for (const char* key : {"edition", "routes", "services", "limits"})
         CHECK(complains(with([&](auto& v) { v.removeMember(key); }), key));
     for (const char* key : {"host", "path_prefix", "route_kind", "deadline_s", "split", "tries"})
-        CHECK_FALSE(with([&](auto& v) { route(v).removeMember(key); }).timetable);
+        CHECK_FALSE(with([&](auto& v) { route(v).removeMember(key); }).configuration);
     for (const char* prefix : {"lepu270/", "/lepu270", "", "x"})
         CHECK(complains(with([&](auto& v) { route(v)["path_prefix"] = prefix; }), "path_prefix"));
     CHECK(complains(with([&](auto& v) { route(v)["route_kind"] = "other"; }), "route_kind"));
@@ -182,7 +181,7 @@
     CHECK(complains(with([&](auto& v) { v["limits"]["max_body_bytes"] = "x"; }), "limits.max_body_bytes"));
 }
 
-TEST_CASE("timetable: all complaints come at once") {
+TEST_CASE("configuration: all complaints come at once") {
     const Parsed parsed = with([](auto& v) {
         v["edition"] = "r1";
         v["routes"]["r-all"]["deadline_s"] = 0;
@@ -193,43 +192,43 @@
     CHECK(complains(parsed, "r-deep"));
 }
 
-TEST_CASE("timetable: what can't be read whole is refused") {
+TEST_CASE("configuration: what can't be read whole is refused") {
     for (std::size_t n = 0; n < kExample.size(); ++n)
-        CHECK_FALSE(read_whole(kExample.substr(0, n), 0).timetable);
+        CHECK_FALSE(read_whole(kExample.substr(0, n), 0).configuration);
     for (const std::string& rubbish :
          {std::string(1, '\0'), std::string(" x"), std::string("}"), std::string("{}"), std::string(","),
           std::string(" 1"), std::string("//")})
-        CHECK_FALSE(read_whole(kExample + rubbish, 0).timetable);
-    CHECK(read_whole(kExample + " \r\n", 0).timetable);
-    CHECK_FALSE(read_whole("\xef\xbb\xbf" + kExample, 0).timetable);
+        CHECK_FALSE(read_whole(kExample + rubbish, 0).configuration);
+    CHECK(read_whole(kExample + " \r\n", 0).configuration);
+    CHECK_FALSE(read_whole("\xef\xbb\xbf" + kExample, 0).configuration);
     const std::string body = kExample.substr(0, kExample.size() - 1);
-    CHECK_FALSE(read_whole(body + R"(,"edition":"r8"})", 0).timetable);     // a key twice
-    CHECK_FALSE(read_whole(body + R"(,"a":{"b":1,"b":1}})", 0).timetable);  // and inside
-    CHECK_FALSE(read_whole(body + ",\"a\":NaN}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":Infinity}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":1,}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",/* */\"a\":1}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",'a':1}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\n\"}", 0).timetable);
+    CHECK_FALSE(read_whole(body + R"(,"edition":"r8"})", 0).configuration);     // a key twice
+    CHECK_FALSE(read_whole(body + R"(,"a":{"b":1,"b":1}})", 0).configuration);  // and inside
+    CHECK_FALSE(read_whole(body + ",\"a\":NaN}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":Infinity}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":1,}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",/* */\"a\":1}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",'a':1}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":\"\n\"}", 0).configuration);
     for (const char* number :
          {"01", "-", "+1", "1.", ".5", "1e", "0x1", "1e+", "--1", "1.2.3", "truely", "nul"})
-        CHECK_FALSE(read_whole(body + ",\"a\":" + number + "}", 0).timetable);
+        CHECK_FALSE(read_whole(body + ",\"a\":" + number + "}", 0).configuration);
     for (const char* number : {"0", "-0", "1.5e-3", "10E5", "true", "null"})
-        CHECK(read_whole(body + ",\"a\":" + number + "}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\xff\"}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\xc3\"}", 0).timetable);
-    CHECK_FALSE(read_whole(body + ",\"a\":" + std::string(100000, '[') + "}", 0).timetable);
-    CHECK_FALSE(read_whole("[]", 0).timetable);
-    CHECK_FALSE(read_whole("null", 0).timetable);
+        CHECK(read_whole(body + ",\"a\":" + number + "}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":\"\xff\"}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":\"\xc3\"}", 0).configuration);
+    CHECK_FALSE(read_whole(body + ",\"a\":" + std::string(100000, '[') + "}", 0).configuration);
+    CHECK_FALSE(read_whole("[]", 0).configuration);
+    CHECK_FALSE(read_whole("null", 0).configuration);
 }
 
-TEST_CASE("timetable: a patch alters items by name and nothing else") {
+TEST_CASE("configuration: a patch alters items by name and nothing else") {
     const auto base = example();
     const Parsed parsed = patch(*base, R"({"edition":"r9","upsert":{"routes":{
 "r-all":{"host":"jepu9.example","path_prefix":"/","route_kind":"plain","deadline_s":4,"target_s":1,"priority":0,"service":"new","tries":1,"x":1}},
 "services":{"new":{"health_path":"/h","max_connections":1}},"tenants":{"y":{"share":0.1}}},
 "remove":{"routes":["r-deep","r-never"],"tenants":["x"]}})");
-    REQUIRE(parsed.timetable);
+    REQUIRE(parsed.configuration);
     Json::Value wanted = json(kExample);
     wanted["edition"] = "r9";
     wanted["routes"].removeMember("r-deep");
@@ -237,15 +236,15 @@
         R"({"host":"jepu9.example","path_prefix":"/","route_kind":"plain","deadline_s":4,"target_s":1,"priority":0,"service":"new","tries":1,"x":1})");
     wanted["services"]["new"] = json(R"({"health_path":"/h","max_connections":1})");
     wanted["tenants"] = json(R"({"y":{"share":0.1}})");
-    CHECK(json(to_json(*parsed.timetable)) == wanted);
-    CHECK(name_of(parsed.timetable->find("jepu9.example", "/lepu270/deep/x")) == "r-xd9dnn2");
+    CHECK(json(to_json(*parsed.configuration)) == wanted);
+    CHECK(name_of(parsed.configuration->find("jepu9.example", "/lepu270/deep/x")) == "r-xd9dnn2");
     CHECK(json(to_json(*base)) == json(kExample));  // as it was
     CHECK(name_of(base->find("jepu9.example", "/lepu270/deep/x")) == "r-deep");
 }
 
-TEST_CASE("timetable: an invalid patch is refused") {
+TEST_CASE("configuration: an invalid patch is refused") {
     const auto base = example();
-    const auto refused = [&](const std::string& body) { return !patch(*base, body).timetable; };
+    const auto refused = [&](const std::string& body) { return !patch(*base, body).configuration; };
     CHECK(refused(R"({"edition":"r9","remove":{"services":["huvo11a"]}})"));
     CHECK(refused(R"({"edition":"r7"})"));
     CHECK(refused(R"({})"));
@@ -261,7 +260,7 @@
     CHECK_FALSE(refused(R"({"edition":"r9","remove":{"routes":["r-ctnfzs9"],"services":["wuno96b"]}})"));
 }
 
-TEST_CASE("timetable: editions as they come in If-Match") {
+TEST_CASE("configuration: editions as they come in If-Match") {
     CHECK(parse_if_match("r12") == 12u);
     CHECK(parse_if_match("12") == 12u);
     CHECK(parse_if_match("\"r12\"") == 12u);
@@ -272,7 +271,7 @@
     CHECK(to_text(12) == "r12");
 }
 
-TEST_CASE("timetable: whole and changes travel as bytes") {
+TEST_CASE("configuration: whole and changes travel as bytes") {
     const auto base = example();
     std::string why;
     const auto back = decode(encode(*base), nullptr, why);
@@ -283,7 +282,7 @@
         patch(
             *base,
             R"({"edition":"r9","upsert":{"services":{"n":{"health_path":"/h","max_connections":1}}},"remove":{"routes":["r-deep"],"tenants":["x"]}})")
-            .timetable;
+            .configuration;
     REQUIRE(next);
     const std::string delta = encode_delta(*base, *next);
     CHECK(delta.size() < encode(*next).size() / 3);
@@ -294,19 +293,19 @@
     CHECK(to_json(*applied) == to_json(*next));
     CHECK_FALSE(decode(delta, nullptr, why));
     CHECK_FALSE(decode(delta, next.get(), why));  // it builds on another
-    CHECK_FALSE(decode(delta, patch(*base, R"({"edition":"r8"})").timetable.get(), why));
+    CHECK_FALSE(decode(delta, patch(*base, R"({"edition":"r8"})").configuration.get(), why));
     const auto limits =
         patch(
             *base,
             R"({"edition":"r8","limits":{"max_header_bytes":1,"max_body_bytes":2,"header_read_s":3,"idle_timeout_s":4}})")
-            .timetable;
+            .configuration;
     REQUIRE(limits);
     const auto limited = decode(encode_delta(*base, *limits), base.get(), why);
     REQUIRE(limited);
     CHECK(limited->limits.max_body_bytes == 2);
 }
 
-TEST_CASE("timetable: bytes that are none make none") {
+TEST_CASE("configuration: bytes that are none make none") {
     const auto base = example();
     const std::string whole = encode(*base);
     std::string why;
