--- a/src/control_io/peers.hpp
+++ b/src/control_io/peers.hpp
@@ -18,7 +18,7 @@
 namespace cobaltshift::control {
 
 constexpr std::size_t kLongestDatagram = 1200, kMostConnections = 32;
-constexpr std::size_t kMostQueued = raft::kMaxMessageBytes + 1024 * 1024;  // bytes to one hub
+constexpr std::size_t kMostQueued = 5 * 1024 * 1024;  // bytes to one hub
 constexpr std::chrono::milliseconds kStuck{700}, kIdle{30000};
 
 class Peers {
--- a/src/lease_io/keeper_node.cpp
+++ b/src/lease_io/keeper_node.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t kPeerQueue = 2 * raft::kMaxMessageBytes, kClientQueue = 1024 * 1024;
+constexpr std::size_t kPeerQueue = 8 * raft::kMaxMessageBytes, kClientQueue = 1024 * 1024;
 constexpr std::chrono::milliseconds kFullDiskPause{1000};
 
 const char* name_of(raft::RaftNode::Role role) {
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -1,5 +1,6 @@
 #include "raft/codec.hpp"
 
+#include "raft/snapshot_transfer.hpp"
 #include "store/fields.hpp"
 #include "store/sealed.hpp"
 
@@ -12,7 +13,7 @@
 using store::Unreadable;
 
 constexpr std::uint64_t kFormat = 1;
-constexpr std::uint64_t kLastKind = static_cast<std::uint64_t>(Message::Kind::gone);
+constexpr std::uint64_t kLastKind = static_cast<std::uint64_t>(Message::Kind::timeout_now);
 
 Members members_of(std::string_view bytes) {
     Members members;
@@ -89,6 +90,39 @@
     return snapshot;
 }
 
+SnapshotPiece piece_of(std::string_view bytes) {
+    SnapshotPiece piece;
+    Fields fields(bytes);
+    while (fields.next()) switch (fields.tag()) {
+            case 1:
+                piece.index = fields.number("piece index");
+                break;
+            case 2:
+                piece.term = fields.number("piece term");
+                break;
+            case 3:
+                piece.members = members_of(fields.bytes("piece members", 1024));
+                break;
+            case 4:
+                piece.offset = fields.number("piece offset", kMaxSnapshotBytes);
+                break;
+            case 5:
+                piece.total = fields.number("piece total", kMaxSnapshotBytes);
+                break;
+            case 6:
+                piece.digest = fields.number("piece digest");
+                break;
+            case 7:
+                piece.data = fields.text("piece data", kSnapshotPieceBytes);
+                break;
+            default:
+                fields.skip();
+        }
+    if (piece.offset + piece.data.size() > piece.total)
+        throw Unreadable("a piece is past its snapshot's end");
+    return piece;
+}
+
 template <class What, class Read>
 std::optional<What> guarded(Read read) {
     try {
@@ -131,6 +165,19 @@
     return bytes;
 }
 
+std::string encode(const SnapshotPiece& piece) {
+    std::string bytes;
+    pbf_writer w(bytes);
+    w.add_uint64(1, piece.index);
+    w.add_uint64(2, piece.term);
+    w.add_bytes(3, encode(piece.members));
+    w.add_uint64(4, piece.offset);
+    w.add_uint64(5, piece.total);
+    w.add_uint64(6, piece.digest);
+    w.add_bytes(7, piece.data);
+    return bytes;
+}
+
 std::string encode(const Message& m) {
     std::string bytes;
     pbf_writer w(bytes);
@@ -150,7 +197,8 @@
     w.add_uint64(14, m.round);
     w.add_bool(15, m.ok);
     for (const Entry& entry : m.entries) w.add_bytes(16, encode(entry));
-    if (m.snapshot) w.add_bytes(17, encode(*m.snapshot));
+    if (m.offset > 0) w.add_uint64(18, m.offset);
+    if (m.piece) w.add_bytes(19, encode(*m.piece));
     return store::sealed(std::move(bytes));
 }
 
@@ -214,16 +262,21 @@
                         throw Unreadable("there are too many entries");
                     m.entries.push_back(entry_of(f.bytes("entry", kMaxEntryBytes + 64)));
                     break;
-                case 17:
-                    m.snapshot = std::make_shared<const Snapshot>(
-                        snapshot_of(f.bytes("snapshot", kMaxSnapshotBytes + 2048)));
+                case 18:
+                    m.offset = f.number("offset", kMaxSnapshotBytes);
+                    break;
+                case 19:
+                    m.piece = std::make_shared<const SnapshotPiece>(
+                        piece_of(f.bytes("piece", kSnapshotPieceBytes + 2048)));
                     break;
                 default:
                     f.skip();
             }
         if (format != kFormat) throw Unreadable("its format is " + std::to_string(format));
         if (m.from == kNobody) throw Unreadable("it is from nobody");
-        if (m.kind == Message::Kind::snapshot && !m.snapshot) throw Unreadable("the snapshot is missing");
+        if (m.kind == Message::Kind::snapshot) throw Unreadable("it is of a kind that is no longer spoken");
+        if (m.kind == Message::Kind::snapshot_piece && !m.piece)
+            throw Unreadable("the snapshot's piece is missing");
     } catch (const Unreadable& fault) {
         return why = fault.what(), std::nullopt;
     }
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -1,25 +1,32 @@
-// One of the few keepers that agree on a log: Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum
-// and one change of members at a time. Entry type of the package: RaftNode. Called by lease::Office, in the
-// program and in the world alike; free of I/O. docs/design/agree.md.
+// One member of a group that agrees on a log: Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum,
+// reads by read-index, hand-over of the lead and one change of members at a time. Entry type of the package:
+// RaftNode. Called by lease::Office and control::Replica, in the programs and in simulated worlds alike; free
+// of I/O. docs/design/agree.md, docs/design/control-safety.md.
 //
-// Events go in with their time: heard(), tick(), propose(), confirm(). After each, while ready(): take() what
-// is to be done, carry it out in its order, and say stored(). The order is the whole promise: what is to be
-// kept is written and synced before anything of `messages` leaves and before stored(). A folder that can't be
-// written ends the keeper: it is made anew from what the folder holds.
+// Events go in with their time: on_message(), tick(), propose(), confirm(). After each, while has_ready():
+// take_ready(), carry it out in its order, and say persisted(). The order is the whole promise: what is to be
+// kept is written and synced before anything of `messages` leaves and before persisted(). A disk that can't
+// be written ends the node: it is made anew from what the disk holds.
 //
-// Invariants (Ongaro's names):
-//   one vote a term            a vote leaves after it is kept, and a life that lost its folder is another
-//   member leader append-only         a leader never drops entries of its own log log matching an entry is
-//   taken only behind the one that the leader has before it leader completeness        only a log as new as a
-//   majority's is voted for; commits count entries of the own term committed stays            a committed
-//   entry is never replaced (Broken if a message asks for it) one change at a time       no change of members
-//   while one is not committed, none before an own entry is
+// Invariants (Ongaro's names), and the file that keeps each:
+//   one vote a term          a vote leaves after it is kept, and a node that lost its disk is another member
+//                            (election.cpp)
+//   leader append-only       a leader never drops entries of its own log (raft_node.cpp, truncate())
+//   log matching             an entry is taken only behind the one that the leader has before it
+//                            (replication.cpp, on_append())
+//   leader completeness      only a log as new as a majority's is voted for; commits count entries of the own
+//                            term (election.cpp, replication.cpp)
+//   committed stays          a committed entry is never replaced: Broken if a message asks for it
+//   one change at a time     no change of members while one is not committed, none before an own entry is
+//                            (membership.cpp)
+//   a snapshot is whole      it takes effect after its last piece and its digest (snapshot_transfer.cpp)
 #pragma once
 
 #include <map>
 #include <optional>
 #include <stdexcept>
 
+#include "raft/snapshot_transfer.hpp"
 #include "raft/types.hpp"
 #include "random.hpp"
 
@@ -29,7 +36,7 @@
 
 namespace cobaltshift::raft {
 
-// What can't be if everybody keeps to the protocol: the keeper must stop, and say so.
+// What can't be if everybody keeps to the protocol: the node must stop, and say so.
 struct Broken : std::logic_error {
     using std::logic_error::logic_error;
 };
@@ -57,7 +64,7 @@
     Index from = 0;
     std::vector<Entry> entries;
     bool writes() const { return vote || snapshot || from > 0; }
-    // 2. Say stored(), then send.
+    // 2. Say persisted(), then send.
     std::vector<Message> messages;
     // 3. Apply: first the state as of `restored`, where given, then these.
     std::optional<Snapshot> restored;
@@ -88,6 +95,12 @@
     // Drops a member for good or takes one up that asks to join. False: not now (not the leader, a change is
     // on its way, the last member, or this keeper itself).
     bool remove(std::uint32_t number);
+    // Hands the lead to the voter that has most of the log: proposals and questions are refused from here on,
+    // until another leads or an election's time has passed. False: it does not lead, or nobody is there.
+    bool transfer_leadership(Millis now);
+    bool transferring_leadership() const { return transfer_to_ != kNobody; }
+    // A member that is heard lacks what the log no longer holds: compacting now would make it begin anew.
+    bool sending_snapshots(Millis now) const;
     // All up to `index` is in `data`, which the caller has applied.
     void compact(Index index, std::string data);
 
@@ -118,9 +131,10 @@
         Index match = 0, next = 1;
         std::size_t out_bytes = 0;  // sent beyond match
         std::uint64_t round = 0;    // the newest acknowledged
-        Millis heard = 0, snapshot_at = 0;
-        bool active = false;             // heard in this term
-        std::uint64_t match_starts = 0;  // the run that told of `match`
+        Millis heard = 0;
+        bool active = false;                     // heard in this term
+        std::uint64_t match_starts = 0;          // the run that told of `match`
+        std::optional<SnapshotSender> transfer;  // of what the log no longer holds
     };
     const std::map<MemberId, Peer>& peers() const { return peers_; }
 
@@ -151,21 +165,29 @@
     void read_members();  // the newest in the log
     void follow(Millis now, Term term, MemberId leader);
     void set_election(Millis now);
-    void stand(Millis now, bool for_real);
+    enum class Stand { pre_vote, election, by_leaders_wish };
+    void stand(Millis now, Stand how);
     void count_votes(Millis now);
     void lead(Millis now);
     void broadcast(Millis now, bool again = false);  // `again`: what got no word since the last heartbeat
     void send_entries(MemberId to, bool even_if_empty);
     std::optional<Message> hear_leader(Millis now, const Message& m);
     void on_append(Millis now, const Message& m);
-    void on_snapshot(Millis now, const Message& m);
+    void send_snapshot(Millis now, MemberId to, Peer& peer);
+    void on_snapshot_piece(Millis now, const Message& m);
+    void on_snapshot_received(Millis now, const Message& m);
+    void install(const Snapshot& snapshot);
+    // Of a member's answer to this leader: notes that it was heard. None: it is nobody's, or of another term.
+    Peer* hear_member(Millis now, const Message& m);
+    void on_timeout_now(Millis now, const Message& m);
+    void ask_to_lead();
     void on_appended(Millis now, const Message& m);
     void on_join(Millis now, const Message& m);
     bool rolled_back(const Message& m);
     void maybe_commit();
-    void look_at_rounds();
+    void confirm_reads();
     void change(Millis now, const Members& to);
-    void look_after_members(Millis now);
+    void reconsider_members(Millis now);
     Message message(Message::Kind kind, MemberId to) const;
     Message reply(Message::Kind kind, const Message& to) const;
 
@@ -196,6 +218,10 @@
         Millis heard;
     };
     std::map<std::uint32_t, Joiner> joiners_;
+    SnapshotReceiver receiver_;
+    MemberId transfer_to_ = kNobody;  // who is to lead next
+    Millis transfer_until_ = 0;
+    bool transfer_asked_ = false;
     Index term_start_ = 0;
     std::uint64_t round_ = 0, tick_round_ = 0;  // the newest; the one that the last heartbeat began
     bool round_wanted_ = false;
@@ -205,9 +231,9 @@
     Counts counts_;
 };
 
-// What a founder's folder holds before its first start: all of `numbers` are members.
+// What the disk of one of the first members holds before its first start: all of `numbers` are members.
 Stored bootstrap(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers);
-// What the folder of a later life holds, with an id drawn by the caller (kFirstDrawn or more).
+// What the disk of a later member holds, with an id drawn by the caller (kFirstDrawn or more).
 Stored newcomer(std::uint64_t fleet, MemberId id);
 
 }  // namespace cobaltshift::raft
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -19,7 +19,7 @@
 constexpr MemberId kNobody = 0, kFirstDrawn = 1ULL << 32;
 
 constexpr std::size_t kMaxMembers = 9, kMaxEntryBytes = 1024 * 1024, kMaxSnapshotBytes = 8 * 1024 * 1024,
-                      kMaxEntriesInMessage = 4096, kMaxMessageBytes = kMaxSnapshotBytes + 64 * 1024;
+                      kMaxEntriesInMessage = 4096, kMaxMessageBytes = 2 * 1024 * 1024;
 
 struct Member {
     MemberId id = kNobody;
@@ -46,6 +46,16 @@
     bool operator==(const Snapshot&) const = default;
 };
 
+// A part of a snapshot on its way.
+struct SnapshotPiece {
+    Index index = 0;
+    Term term = 0;
+    Members members;
+    std::uint64_t offset = 0, total = 0;  // of the data, in bytes
+    std::uint64_t digest = 0;             // of the whole data
+    std::string data;
+};
+
 // One run of a keeper's process: its folder's count of starts, and a drawn number.
 struct Run {
     std::uint64_t starts = 0, draw = 0;
@@ -56,13 +66,16 @@
     enum class Kind : std::uint8_t {
         ask_prevote,  // index, log_term: the sender's last entry; term: the one it would stand for
         prevote,      // ok; term: the one asked for, or a refuser's own
-        ask_vote,     // index, log_term: the sender's last entry
+        ask_vote,     // index, log_term: the sender's last entry; ok: by the leader's own wish (timeout_now)
         vote,         // ok
         append,       // index, log_term: the entry before `entries`; commit, round
         appended,     // ok: all up to index is stored; else index is where the leader may try; last, round
-        snapshot,     // snapshot, round
+        snapshot,     // no longer spoken; its number stays taken
         join,         // to nobody in particular: the sender is new and would be a member
         gone,         // the receiver, in the run named, is no member, or has an older folder than it had
+        snapshot_piece,     // piece, round
+        snapshot_received,  // index: the snapshot's; offset: the byte wanted next; round
+        timeout_now,        // the receiver is to stand for election at once, by the leader's own wish
     };
     Kind kind = Kind::append;
     std::uint64_t fleet = 0;  // messages of another fleet are dropped
@@ -75,8 +88,9 @@
     Term log_term = 0;
     std::uint64_t round = 0;
     bool ok = false;
+    std::uint64_t offset = 0;
     std::vector<Entry> entries;
-    std::shared_ptr<const Snapshot> snapshot;
+    std::shared_ptr<const SnapshotPiece> piece;
 };
 
 // What a keeper's folder holds.
--- a/src/sim/check/describe.cpp
+++ b/src/sim/check/describe.cpp
@@ -61,7 +61,9 @@
             .number(p.out_bytes)
             .number(p.round)
             .time(p.heard)
-            .time(p.snapshot_at)
+            .number(p.transfer ? p.transfer->snapshot().index : 0)
+            .number(p.transfer ? p.transfer->acknowledged() : 0)
+            .number(p.transfer ? p.transfer->sent() : 0)
             .number(p.active)
             .number(p.match_starts);
     for (const auto& [id, seen] : k.seen_)
@@ -70,6 +72,10 @@
     s.number(k.term_start_).number(k.round_).number(k.tick_round_);
     for (const auto& q : k.questions_) s.number(q.number).number(q.round);
     for (const auto q : k.confirmed_) s.number(q);
+    s.number(k.transfer_to_)
+        .time(k.transfer_until_)
+        .number(k.transfer_asked_)
+        .number(k.receiver_.held_bytes());
     s.number(k.out_.size());
     return s.get();
 }
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -424,7 +424,13 @@
         {"members that are nobody", raw({0x08, 1, 0x82, 1, 8, 0x08, 1, 0x10, 2, 0x1a, 2, 0x0a, 0}),
          "a member is nobody"},
         {"a tag of no field", raw({0x08, 1, 0x00}), "a field's tag can't be read"},
-        {"a snapshot's message without one", raw({0x08, 1, 0x10, 6, 0x20, 1}), "the snapshot is missing"},
+        {"a kind that is no longer spoken", raw({0x08, 1, 0x10, 6, 0x20, 1}),
+         "it is of a kind that is no longer spoken"},
+        {"a snapshot's piece without one", raw({0x08, 1, 0x10, 9, 0x20, 1}),
+         "the snapshot's piece is missing"},
+        {"a snapshot's piece past its end",
+         raw({0x08, 1, 0x10, 9, 0x20, 1, 0x9a, 1, 7, 0x20, 5, 0x28, 5, 0x3a, 1, 'x'}),
+         "a piece is past its snapshot's end"},
         {"longer than any", std::string(raft::kMaxMessageBytes + 1, 'x'), "it is too long"},
     };
     for (const auto& row : rows) {
