--- a/src/config/config_state_machine.cpp
+++ b/src/config/config_state_machine.cpp
@@ -42,8 +42,8 @@
 
 // Leaves in prepared_ what is taken.
 ChangeOutcome ConfigStateMachine::judge(const Change& change, const Digest& digest) {
-    for (const Taken& taken : taken_)
-        if (taken.digest == digest) return {ChangeOutcome::Kind::already, taken.edition, {}};
+    if (const auto taken = taken_by_digest_.find(digest); taken != taken_by_digest_.end())
+        return {ChangeOutcome::Kind::already, taken->second, {}};
     if (change.if_match != edition()) return {ChangeOutcome::Kind::stale, edition(), {}};
     if (!prepared_.configuration || prepared_.digest != digest || prepared_.base != edition()) {
         Parsed parsed;
@@ -74,11 +74,18 @@
     if (verdict.kind != ChangeOutcome::Kind::taken) return verdict;
     current_ = std::move(prepared_.configuration);
     prepared_ = {};
-    taken_.push_back({current_->edition, own});
-    if (taken_.size() > kRemembered) taken_.pop_front();
+    remember({current_->edition, own});
     return verdict;
 }
 
+void ConfigStateMachine::remember(const Taken& taken) {
+    taken_.push_back(taken);
+    taken_by_digest_[taken.digest] = taken.edition;
+    if (taken_.size() <= kRemembered) return;
+    taken_by_digest_.erase(taken_.front().digest);
+    taken_.pop_front();
+}
+
 std::string ConfigStateMachine::save() const {
     Out out;
     out << kLedger << (current_ ? encode(*current_) : std::string()) << std::uint64_t{taken_.size()};
@@ -94,7 +101,7 @@
         std::shared_ptr<const Configuration> current;
         std::string why;
         if (!whole.empty() && !(current = decode(whole, nullptr, why))) return false;
-        std::deque<Taken> taken;
+        std::vector<Taken> taken;
         for (std::size_t n = in.count(); n > 0; --n) {
             Taken one;
             one.edition = in.number();
@@ -105,7 +112,9 @@
         in.end();
         if (taken.size() > kRemembered) return false;
         current_ = std::move(current);
-        taken_ = std::move(taken);
+        taken_.clear();
+        taken_by_digest_.clear();
+        for (const Taken& one : taken) remember(one);
         prepared_ = {};
         return true;
     } catch (const std::exception&) {
--- a/src/config/config_state_machine.hpp
+++ b/src/config/config_state_machine.hpp
@@ -9,12 +9,15 @@
 
 #include <array>
 #include <deque>
+#include <unordered_map>
 
 #include "config/parse.hpp"
 
 namespace cobaltshift::config {
 
-constexpr std::size_t kRemembered = 512;
+// Outcomes of changes that were taken, the newest so many; 24 bytes each in a snapshot. A change that comes
+// again after this many later ones is refused as stale: it was taken once and is not taken twice.
+constexpr std::size_t kRemembered = 16384;
 
 struct Change {
     enum class Kind : std::uint8_t { put, patch };
@@ -56,7 +59,13 @@
     };
     ChangeOutcome judge(const Change& change, const Digest& digest);
     std::shared_ptr<const Configuration> current_;
-    std::deque<Taken> taken_;
+    void remember(const Taken& taken);
+
+    struct DigestHash {
+        std::size_t operator()(const Digest& digest) const { return static_cast<std::size_t>(digest[0]); }
+    };
+    std::deque<Taken> taken_;                                          // the oldest first
+    std::unordered_map<Digest, Edition, DigestHash> taken_by_digest_;  // the same
     struct Prepared {
         Digest digest{};
         Edition base = 0;
