--- a/src/config_io/config_distributor.cpp
+++ b/src/config_io/config_distributor.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-constexpr std::uint64_t kAsk = 0x51465343, kTold = 0x41465343;
-constexpr std::size_t kAskBytes = 12, kChunk = 16 * 1024;
+constexpr std::uint64_t kAsk = 0x51465343, kTold = 0x41465343, kAskCurrent = 0x51435343,
+                        kCurrent = 0x41435343;
+constexpr std::size_t kAskBytes = 12, kCurrentBytes = 16, kChunk = 16 * 1024;
 
 void put(std::string& bytes, std::uint64_t value, int size) {
     for (int i = 0; i < size; ++i) bytes += static_cast<char>(value >> (8 * i));
@@ -45,6 +46,7 @@
     }
     void answer() {
         const std::string_view asked(ask.data(), ask.size());
+        if (get(asked, 0, 4) == kAskCurrent) return answer_current();
         if (get(asked, 0, 4) != kAsk) {
             ++distributor.counts_.refused;
             timer.cancel();
@@ -70,6 +72,23 @@
         });
     }
 
+    void answer_current() {
+        if (!distributor.on_ask_current) return say_current({});
+        distributor.on_ask_current([self = shared_from_this()](const CurrentAnswer& answer) {
+            if (*self->alive) self->say_current(answer);
+        });
+    }
+    void say_current(const CurrentAnswer& answer) {
+        put(heads, kCurrent, 4);
+        put(heads, static_cast<std::uint64_t>(answer.kind), 4);
+        put(heads, answer.kind == CurrentAnswer::Kind::elsewhere ? answer.leader : answer.edition, 8);
+        asio::async_write(socket, asio::buffer(heads), [self = shared_from_this()](error_code, std::size_t) {
+            error_code ignored;
+            self->timer.cancel();
+            self->socket.shutdown(tcp::socket::shutdown_send, ignored);
+        });
+    }
+
     ConfigDistributor& distributor;
     std::shared_ptr<bool> alive;
     tcp::socket socket;
@@ -132,8 +151,12 @@
                                 std::shared_ptr<const std::string> delta) {
     if (held_) {
         if (!delta) delta = std::make_shared<const std::string>(encode_delta(*held_, *configuration));
+        delta_bytes_ += delta->size();
         deltas_.push_back({held_->edition, configuration->edition, std::move(delta)});
-        if (deltas_.size() > kMostDeltas) deltas_.pop_front();
+        while (deltas_.size() > kMostDeltas || delta_bytes_ > kMostDeltaBytes) {
+            delta_bytes_ -= deltas_.front().bytes->size();
+            deltas_.pop_front();
+        }
     }
     held_ = std::move(configuration);
     whole_.reset();
@@ -153,7 +176,7 @@
         put(ask, kAsk, 4);
         put(ask, distributor.edition(), 8);
         wait(until, kFetchWithin);
-        wait(silence, kSilence);
+        wait(silence, kFirstSilence);
         socket.async_connect({asio::ip::address_v4(ip), distributor.port_}, [self = shared_from_this()](
                                                                                 error_code ec) {
             if (ec) return self->end(ec.message());
@@ -170,7 +193,7 @@
         });
     }
     void read() {
-        wait(silence, kSilence);
+        wait(silence, in.empty() && left < 0 ? kFirstSilence : kSilence);
         const std::size_t had = in.size();
         in.resize(had + kChunk);
         socket.async_read_some(asio::buffer(in.data() + had, kChunk),
@@ -233,6 +256,60 @@
     bool over = false, newer = false;
 };
 
+struct ConfigDistributor::AskingCurrent : std::enable_shared_from_this<AskingCurrent> {
+    AskingCurrent(ConfigDistributor& of, std::function<void(CurrentAnswer)> to)
+        : alive(of.alive_), socket(of.io_), timer(of.io_), done(std::move(to)) {}
+    void start(const tcp::endpoint& to) {
+        put(ask, kAskCurrent, 4);
+        put(ask, 0, 8);
+        timer.expires_after(kCurrentWithin);
+        timer.async_wait([self = shared_from_this()](error_code ec) {
+            if (!ec) self->end({});
+        });
+        socket.async_connect(to, [self = shared_from_this()](error_code ec) {
+            if (ec) return self->end({});
+            asio::async_write(self->socket, asio::buffer(self->ask), [self](error_code wrote, std::size_t) {
+                if (wrote) return self->end({});
+                self->read();
+            });
+        });
+    }
+    void read() {
+        asio::async_read(socket, asio::buffer(in), [self = shared_from_this()](error_code ec, std::size_t) {
+            if (ec) return self->end({});
+            const std::string_view said(self->in.data(), self->in.size());
+            const std::uint64_t kind = get(said, 4, 4), value = get(said, 8, 8);
+            CurrentAnswer answer;
+            if (get(said, 0, 4) == kCurrent &&
+                kind <= static_cast<std::uint64_t>(CurrentAnswer::Kind::elsewhere))
+                answer.kind = static_cast<CurrentAnswer::Kind>(kind);
+            answer.edition = value;
+            answer.leader = static_cast<std::uint32_t>(value);
+            self->end(answer);
+        });
+    }
+    void end(const CurrentAnswer& answer) {
+        if (std::exchange(over, true)) return;
+        error_code ignored;
+        socket.close(ignored);
+        timer.cancel();
+        if (*alive) done(answer);
+    }
+
+    std::shared_ptr<bool> alive;
+    tcp::socket socket;
+    asio::steady_timer timer;
+    std::function<void(CurrentAnswer)> done;
+    std::string ask;
+    std::array<char, kCurrentBytes> in{};
+    bool over = false;
+};
+
+void ConfigDistributor::ask_current(std::uint32_t ip, std::function<void(CurrentAnswer)> done) {
+    if (stopped_) return;
+    std::make_shared<AskingCurrent>(*this, std::move(done))->start({asio::ip::address_v4(ip), port_});
+}
+
 void ConfigDistributor::hint(std::uint32_t ip, Edition edition) {
     if (ip == ip_ || edition <= this->edition() || stopped_) return;
     if (sources_.size() >= kMostSources && !sources_.count(ip)) {
--- a/src/config_io/config_distributor.hpp
+++ b/src/config_io/config_distributor.hpp
@@ -1,27 +1,32 @@
 // Configurations between nodes, over TCP at an internal port: each node serves what it holds, and fetches
-// what another is known to have. Entry type: ConfigDistributor. Called by proxies (sidecars) and hubs alike:
-// a hub holds what is committed, and whoever has fetched a newer one serves it on. A request names the
-// edition held; the answer is what changed since, or the whole.
+// what another is known to have. Entry type: ConfigDistributor. Called by proxies and control nodes alike: a
+// control node holds what is committed, and whoever has fetched a newer one serves it on. A request names the
+// edition held; the answer is what changed since, or the whole. What is served is not said to be current:
+// whether it is, a control node with a majority's word says (ask_current()).
 //
-// Wire: request: kAsk (u32), edition (u64); answer: kTold (u32), number of parts (u32, 0: nothing newer),
-// then each with its length (u32), as codec.hpp makes them; little-endian. One fetch a connection.
+// Wire, little-endian, one question a connection:
+//   kAsk (u32), edition (u64)    -> kTold (u32), number of parts (u32, 0: nothing newer), then each with its
+//                                   length (u32), as codec.hpp makes them
+//   kAskCurrent (u32), 0 (u64)   -> kCurrent (u32), CurrentAnswer::Kind (u32), edition or leader (u64)
 //
-// Bounds: kMostSources hinted, kMostServed connections served, kMostDeltas kept, one fetch at a time. Whoever
-// says nothing for kSilence is left for the next source; bad bytes end the connection. It never goes back to
-// an older edition.
+// Bounds: kMostSources hinted, kMostServed connections served, kMostDeltas kept, of kMostDeltaBytes together,
+// one fetch at a time. Whoever says nothing for kFirstSilence, or between two parts for kSilence, is left for
+// the next source; bad bytes end the connection. It never goes back to an older edition.
 #pragma once
 
 #include <deque>
 #include <functional>
 #include <map>
 
-#include "config/configuration.hpp"
+#include "config/startup_confirmation.hpp"
 #include "net/http.hpp"
 
 namespace cobaltshift::config {
 
-constexpr std::size_t kMostSources = 32, kMostServed = 128, kMostDeltas = 16;
-constexpr std::chrono::milliseconds kSilence{300}, kFetchWithin{5000}, kServeWithin{10000}, kRetryAfter{100};
+constexpr std::size_t kMostSources = 32, kMostServed = 128, kMostDeltas = 64, kMostDeltaBytes = 256 * 1024;
+// A configuration of 4 MiB takes 5 s over 6.4 Mbit/s that nobody else uses.
+constexpr std::chrono::milliseconds kFirstSilence{300}, kSilence{1000}, kFetchWithin{30000},
+    kServeWithin{30000}, kRetryAfter{100}, kCurrentWithin{300};
 
 class ConfigDistributor {
 public:
@@ -39,6 +44,10 @@
     void hint(std::uint32_t ip, Edition edition);
     // Something newer was fetched.
     std::function<void(std::shared_ptr<const Configuration>)> on_new;
+    // Of a control node: answers which edition is current, with a majority's word. Without it: unavailable.
+    std::function<void(std::function<void(CurrentAnswer)>)> on_ask_current;
+    // Asks the control node at this IPv4; `done` once, within kCurrentWithin, unless stopped before.
+    void ask_current(std::uint32_t ip, std::function<void(CurrentAnswer)> done);
     void stop();
 
     struct Counts {
@@ -50,6 +59,7 @@
 private:
     struct Serving;
     struct Fetching;
+    struct AskingCurrent;
     struct Delta {
         Edition from, to;
         std::shared_ptr<const std::string> bytes;
@@ -70,6 +80,7 @@
     std::shared_ptr<const Configuration> held_;
     std::weak_ptr<const std::string> whole_;  // of held_, while somebody is being sent it
     std::deque<Delta> deltas_;
+    std::size_t delta_bytes_ = 0;
     struct Source {
         Edition edition = 0;
         std::chrono::steady_clock::time_point tried{};
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 constexpr Millis kLostEvery = 500, kLookEvery = 100;
-}
+constexpr std::size_t kEntryOverheadBytes = 32;
+}  // namespace
 
 raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders) {
     raft::Stored stored;
@@ -18,6 +19,20 @@
     return stored;
 }
 
+config::CurrentAnswer current_answer(const Reply& reply) {
+    using Kind = config::CurrentAnswer::Kind;
+    switch (reply.kind) {
+        case Reply::Kind::config:
+            return {Kind::current, reply.current->edition, 0};
+        case Reply::Kind::nothing_yet:
+            return {Kind::current, 0, 0};
+        case Reply::Kind::elsewhere:
+            return {Kind::elsewhere, 0, reply.leader};
+        default:
+            return {};
+    }
+}
+
 Replica::Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw)
     : settings_(settings),
       raft_(settings.agree, std::move(stored), now, draw),
@@ -88,7 +103,8 @@
         return;
     }
     raft_.on_message(now, message);
-    if ((message.kind == Kind::append || message.kind == Kind::snapshot) && message.from == raft_.leader())
+    if ((message.kind == Kind::append || message.kind == Kind::snapshot_piece) &&
+        message.from == raft_.leader())
         leader_heard_ = now, lost_at_ = now + settings_.lost_after;
 }
 
@@ -121,12 +137,15 @@
     counts_.removals += raft_.remove(silent->number);
 }
 
+bool Replica::hand_over(Millis now) { return raft_.transfer_leadership(now); }
+
 // ---- The operator's calls --------------------------------------------------------------------------------
 
 void Replica::wait(Millis now, Waiting waiting) {
     waiting.until = now + settings_.answer_within;
     const std::uint32_t elsewhere = fresh_leader(now);
-    if (!raft_.leads() || raft_.retired() || waiting_.size() >= settings_.most_waiting) {
+    if (!raft_.leads() || raft_.retired() || raft_.transferring_leadership() ||
+        waiting_.size() >= settings_.most_waiting) {
         const bool known = !raft_.leads() && elsewhere != 0;
         Reply reply;
         reply.kind = known ? Reply::Kind::elsewhere : Reply::Kind::unavailable;
@@ -219,11 +238,14 @@
         if (ready.restored->index != applied_ && !state_machine_.load(ready.restored->data))
             throw raft::Broken("the snapshot is no state_machine");
         applied_ = ready.restored->index;
-        log_bytes_ = 0;
+        checkpoint_.reset();
+        checkpoint_bytes_ = log_bytes_ = 0;
     }
     for (const raft::Committed& one : ready.committed) {
         applied_ = one.index;
-        log_bytes_ += one.entry.data.size() + 32;
+        const std::size_t bytes = one.entry.data.size() + kEntryOverheadBytes;
+        checkpoint_bytes_ += bytes;
+        log_bytes_ += bytes;
         if (one.entry.kind != raft::Entry::Kind::data) continue;
         const auto change = config::decode_change(one.entry.data);
         const config::ChangeOutcome verdict =
@@ -248,13 +270,21 @@
         output.newest = state_machine_.current();
 }
 
-void Replica::compact() {
+void Replica::checkpoint(Millis now) {
     if (applied_ < raft_.commit() || applied_ <= raft_.snapshot().index) return;
-    if (applied_ - raft_.snapshot().index < settings_.compact_entries && log_bytes_ < settings_.compact_bytes)
+    const raft::Index since = checkpoint_ ? checkpoint_->index : raft_.snapshot().index;
+    if (applied_ <= since) return;
+    if (applied_ - since < settings_.checkpoint_entries && checkpoint_bytes_ < settings_.checkpoint_bytes)
         return;
-    raft_.compact(applied_, state_machine_.save());
-    log_bytes_ = 0;
-    ++counts_.compactions;
+    // Whoever is being sent the snapshot would have to begin anew.
+    if (raft_.sending_snapshots(now) && log_bytes_ < settings_.transfer_log_bytes) return;
+    if (checkpoint_) {
+        raft_.compact(checkpoint_->index, std::move(checkpoint_->state));
+        log_bytes_ = checkpoint_bytes_;
+        ++counts_.compactions;
+    }
+    checkpoint_ = Checkpoint{applied_, state_machine_.save()};
+    checkpoint_bytes_ = 0;
 }
 
 Output Replica::take_output(Millis now) {
@@ -264,7 +294,7 @@
     for (const std::uint64_t question : output.ready.confirmed)
         for (Waiting& one : waiting_)
             if (one.question == question) one.confirmed = true;
-    compact();
+    checkpoint(now);
     now_ = now;
     output.replies = std::move(replies_);
     replies_.clear();
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -16,6 +16,7 @@
 #include <map>
 
 #include "config/config_state_machine.hpp"
+#include "config/startup_confirmation.hpp"
 #include "raft/raft_node.hpp"
 
 namespace cobaltshift::control {
@@ -29,10 +30,16 @@
     Millis removed_after = 2500;  // a member unheard so long is dropped,
     Millis heard_within = 1000;   // if so many voters remain that were heard within this:
     std::size_t least_voters = 3;
-    Millis lost_after = 1500;          // without a leader: asks all hubs known whether it is a member still
-    std::size_t compact_entries = 64;  // in the log, or
-    std::size_t compact_bytes = 256 * 1024;
-    std::size_t most_waiting = 64;  // calls; further ones are sent away
+    Millis lost_after = 1500;  // without a leader: asks all hubs known whether it is a member still
+    // A checkpoint of the state is taken after so many entries, or so many bytes of them. The log is
+    // compacted to the checkpoint before the newest, so that a member that lags a little is sent entries, not
+    // a snapshot.
+    std::size_t checkpoint_entries = 64;
+    std::size_t checkpoint_bytes = 256 * 1024;
+    // The log may grow to this while a snapshot is on its way to a member, which then finds all that follows
+    // it.
+    std::size_t transfer_log_bytes = 4 * 1024 * 1024;
+    std::size_t most_waiting = 256;  // calls; further ones are sent away
 };
 
 // A member's number is its IPv4 in host order. What the three founders' folders hold before their first
@@ -49,6 +56,9 @@
     std::shared_ptr<const config::Configuration> current;  // config
 };
 
+// Of a reading, as a node that starts asks for it.
+config::CurrentAnswer current_answer(const Reply& reply);
+
 struct Output {
     raft::Ready ready;
     std::vector<raft::Message> to_all;  // for every hub known, with the same promise as ready.messages
@@ -67,6 +77,9 @@
     void on_message(Millis now, const raft::Message& message, bool passed_on);
     void change(Millis now, std::uint64_t client, config::Change change);
     void read(Millis now, std::uint64_t client);
+    // This member is about to stop: the lead goes to another. Calls that come later are sent away. True:
+    // asked; leads() turns false once another leads.
+    bool hand_over(Millis now);
 
     bool has_output() const {
         return raft_.has_ready() || !replies_.empty() || !passed_on_.empty() || !to_all_.empty();
@@ -100,13 +113,18 @@
     bool look_at(Waiting& waiting);
     void look_after_silent(Millis now);
     void apply(const raft::Ready& ready, Output& output);
-    void compact();
+    void checkpoint(Millis now);
 
     const ReplicaSettings settings_;
     raft::RaftNode raft_;
     config::ConfigStateMachine state_machine_;
     raft::Index applied_ = 0;
-    std::size_t log_bytes_ = 0;  // since the last snapshot
+    std::size_t checkpoint_bytes_ = 0, log_bytes_ = 0;  // of entries since the newest checkpoint; in the log
+    struct Checkpoint {
+        raft::Index index = 0;
+        std::string state;
+    };
+    std::optional<Checkpoint> checkpoint_;  // the newest; the log still holds what led to it
     Millis now_ = 0, leader_heard_ = -1e18, lost_at_ = 0, looked_at_ = 0;
     bool busy_ = false;    // a change is on its way
     raft::Term term_ = 0;  // in which it is
--- a/src/control_io/control_node.cpp
+++ b/src/control_io/control_node.cpp
@@ -71,6 +71,9 @@
       timer_(io),
       store_timer_(io),
       stop_timer_(io) {
+    distributor_.on_ask_current = [this](std::function<void(config::CurrentAnswer)> done) {
+        ask_current(std::move(done));
+    };
     settings_.agree.fleet = kFleet;
     settings_.agree.number = ip_;
     settings_.agree.keepers = UINT32_MAX;
@@ -133,7 +136,7 @@
     store_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (!ec && *alive && !stopped_ && !replica_) guarded([this] { open(); });
     });
-    config_.dismiss_all();
+    dismiss_all();
 }
 
 // ---- The order of what is done ---------------------------------------------------------------------------
@@ -194,7 +197,7 @@
             } catch (const StoreRefuses& fault) {
                 return refuses(fault.what());
             }
-            config_.dismiss_all();
+            dismiss_all();
             return open();
         }
         replica_->persisted();
@@ -212,11 +215,16 @@
             if (on_edition) on_edition(output.newest->edition);
             if (stopped_ || !replica_) return;
         }
-        for (const Reply& reply : output.replies) config_.reply(reply);
+        for (const Reply& reply : output.replies) {
+            if (reply.client & kCurrentQuestionBit)
+                answer_current(reply);
+            else
+                config_.reply(reply);
+        }
     }
     if (stopped_ || !replica_) return;
     tell();
-    if (stopping_ && config_.open() == 0) return halt();
+    if (stopping_ && nothing_left()) return halt();
     schedule();
 }
 
@@ -259,7 +267,11 @@
     }
     stop_done_ = std::move(done);
     stopping_ = true;
-    if (config_.open() == 0 || !replica_) return halt();
+    if (!replica_) return halt();
+    event([this] {
+        if (replica_->hand_over(now())) log_line("SB016 hands over", "stopping: another is asked to lead");
+    });
+    if (!replica_ || nothing_left()) return halt();
     stop_timer_.expires_after(kStopWithin);
     stop_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (!ec && *alive) halt();
@@ -274,10 +286,37 @@
     replica_.reset();
     if (peers_) peers_->stop();
     store_.reset();
-    config_.dismiss_all();
+    dismiss_all();
     if (stop_done_) asio::post(io_, std::exchange(stop_done_, nullptr));
 }
 
+bool ControlNode::nothing_left() const {
+    return config_.open() == 0 && current_questions_.empty() &&
+           !(replica_ && replica_->raft().transferring_leadership());
+}
+
+// ---- Which edition is current -----------------------------------------------------------------------------
+
+void ControlNode::ask_current(std::function<void(config::CurrentAnswer)> done) {
+    if (!replica_ || stopping_) return done({});
+    const std::uint64_t client = next_current_question_++;
+    current_questions_[client] = std::move(done);
+    event([&] { replica_->read(now(), client); });
+}
+
+void ControlNode::answer_current(const Reply& reply) {
+    const auto at = current_questions_.find(reply.client);
+    if (at == current_questions_.end()) return;
+    const auto done = std::move(at->second);
+    current_questions_.erase(at);
+    done(current_answer(reply));
+}
+
+void ControlNode::dismiss_all() {
+    config_.dismiss_all();
+    for (const auto& [client, done] : std::exchange(current_questions_, {})) done({});
+}
+
 std::string ControlNode::status() const {
     Json::Value said;
     said["ip"] = boot_.ip;
--- a/src/control_io/control_node.hpp
+++ b/src/control_io/control_node.hpp
@@ -1,7 +1,6 @@
-// A hub's control plane (railways: the box from which signals are set): one replica of the configuration,
-// with its folder and its peers, on one event loop. Entry type: ControlNode. Called by the program of that
-// name, and by tests. See control/replica.hpp for what it promises and docs/operate/events-control node.md
-// for what it logs.
+// A control node: one replica of the configuration, with its folder and its peers, on one event loop. Entry
+// type: ControlNode. Called by the program of that name, and by tests. See control/replica.hpp for what it
+// promises and docs/operate/events-control.md for what it logs.
 //
 // Internal ports: boot.first_port + 2 for peers; the distributor has its own. Where the folder refuses, the
 // replica ends and the folder is tried again every kStoreAgain; meanwhile calls get 503.
@@ -20,6 +19,9 @@
 namespace cobaltshift::control {
 
 constexpr std::chrono::milliseconds kStoreAgain{300}, kStopWithin{600};
+// Clients of the replica with this bit are questions which edition is current; the others are operators'
+// calls.
+constexpr std::uint64_t kCurrentQuestionBit = 1ULL << 63;
 
 class ControlNode {
 public:
@@ -40,7 +42,9 @@
     // constructor's first turn of the loop, not from the constructor.
     std::function<void(config::Edition)> on_edition;
 
-    // A planned end: what is on its way is answered, then it falls silent; `done` within kStopWithin.
+    // A planned end: the lead goes to another member, what is on its way is answered, then it falls silent;
+    // `done` within kStopWithin. It stays a member: its disk comes back, or a successor is taken in first and
+    // then it is dropped (Replica).
     void stop(std::function<void()> done = {});
     // This hub can't go on (a protocol broken, a foreign folder): the program should end. Called once.
     std::function<void(const std::string& why)> on_over;
@@ -57,6 +61,12 @@
     void tell();
     void send(const raft::Message& message);
     void halt();
+    // Nobody waits for this node any more: it may fall silent.
+    bool nothing_left() const;
+    void ask_current(std::function<void(config::CurrentAnswer)> done);
+    void answer_current(const Reply& reply);
+    // The replica is gone: whoever waits is told so.
+    void dismiss_all();
 
     asio::io_context& io_;
     const boot::Boot& boot_;
@@ -68,6 +78,8 @@
     std::unique_ptr<Replica> replica_;
     std::unique_ptr<Peers> peers_;
     ConfigResource config_;
+    std::map<std::uint64_t, std::function<void(config::CurrentAnswer)>> current_questions_;
+    std::uint64_t next_current_question_ = kCurrentQuestionBit;
     asio::steady_timer timer_, store_timer_, stop_timer_;
     bool stopping_ = false, stopped_ = false, pump_posted_ = false, told_over_ = false;
     bool led_ = false;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -14,6 +14,14 @@
 constexpr std::chrono::seconds kTallyEvery{60};
 constexpr std::uint32_t kCapacityUnheard = 4;  // of a server whose health answered before its first beat
 
+// A little of the link is for what is not answers: requests, gossip, heads of packets.
+constexpr double kLinkShare = 0.96, kBytesPerMsOfMbps = 125;
+
+std::unique_ptr<PacedLink> link_of(asio::io_context& io, const Clock& clock, const boot::Boot& boot) {
+    if (boot.link_mbps <= 0) return nullptr;
+    return std::make_unique<PacedLink>(io, clock, boot.link_mbps * kBytesPerMsOfMbps * kLinkShare);
+}
+
 Listener::Limits limits(const boot::Boot& boot, double share) {
     const auto descriptors = static_cast<std::size_t>(static_cast<double>(boot.file_limit - 200) * share);
     return {descriptors, descriptors, (boot.memory_mb << 20) / 4};
@@ -25,12 +33,15 @@
       boot_(std::move(boot)),
       gossip_(io, boot_, registry::NodeRole::proxy, boot_.inbound ? boot_.inbound->port() : 0),
       distributor_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
+      confirmation_({}, clock_.now()),
+      link_(link_of(io, clock_, boot_)),
       inbound_(io, clock_, boot_,
                {[this] { return distributor_.held() ? distributor_.held()->edition : 0; },
                 [this](std::uint64_t edition) {
                     // Whom it came from is not known here; the hubs have it, or know who has.
                     for (const std::uint32_t hub : gossip_.hubs()) distributor_.hint(hub, edition);
-                }}),
+                }},
+               link_.get()),
       outbound_(io, clock_, boot_,
                 {[this] { return gossip_.live_proxies(); },
                  [this](const auto& visit) {
@@ -48,11 +59,12 @@
       control_front_(kMostCall),
       ready_front_(kMostCall),
       outbound_listener_(io, clock_, outbound_, limits(boot_, 0.35)),
-      inbound_listener_(io, clock_, inbound_, limits(boot_, 0.25)),
+      inbound_listener_(io, clock_, inbound_, limits(boot_, 0.25), link_.get()),
       control_listener_(io, clock_, control_front_, limits(boot_, 0.02)),
       ready_listener_(io, clock_, ready_front_, limits(boot_, 0.02)),
       timer_(io),
-      tally_timer_(io) {
+      tally_timer_(io),
+      confirmation_timer_(io) {
     control_front_.add(beats_);
     ready_front_.add(ready_);
     gossip_.on_change = [this](const registry::NodeRecord&, registry::Standing) {
@@ -68,6 +80,7 @@
     if (boot_.readiness) ready_listener_.listen(*boot_.readiness);
     tally();
     gossip_.start();
+    reconsider_configuration();
     log_line("GD001 started", "proxy " + boot_.node_name + " of " + boot_.service + " started");
 }
 
@@ -99,15 +112,50 @@
 }
 
 void Proxy::took(std::shared_ptr<const config::Configuration> configuration) {
-    const std::uint64_t edition = configuration->edition;
-    log_line("GD002 configuration", "configuration r" + std::to_string(edition) + " in force");
-    outbound_.hold(configuration);
-    gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = edition; });
-    // Started again beside a server that runs on: its next beat is up to heartbeat_s away.
+    gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = configuration->edition; });
+    ask_health(*configuration);
+    reconsider_configuration();
+}
+
+void Proxy::put_in_force(std::shared_ptr<const config::Configuration> configuration) {
+    in_force_ = configuration->edition;
+    log_line("GD002 configuration", "configuration r" + std::to_string(in_force_) + " in force");
+    outbound_.hold(std::move(configuration));
+}
+
+void Proxy::reconsider_configuration() {
+    using State = config::StartupConfirmation::State;
+    const Millis now = clock_.now();
+    if (const auto held = distributor_.held();
+        held && held->edition > in_force_ && confirmation_.usable(now, held->edition))
+        put_in_force(held);
+    const State state = in_force_ > 0 ? confirmation_.state(now, in_force_) : State::waiting;
+    if (state != std::exchange(told_state_, state) && state == State::unconfirmed)
+        log_line("GD008 configuration unconfirmed",
+                 "no majority could be asked which configuration is current: r" + std::to_string(in_force_) +
+                     " is the newest that anybody told");
+    else if (state == State::confirmed && !std::exchange(told_confirmed_, true))
+        log_line("GD009 configuration confirmed",
+                 "a majority confirmed the configuration in force or an older one");
+    if (const auto node = confirmation_.next_to_ask(now, gossip_.hubs()))
+        distributor_.ask_current(*node, [this, node = *node](const config::CurrentAnswer& answer) {
+            confirmation_.on_answer(answer);
+            if (answer.kind == config::CurrentAnswer::Kind::current) distributor_.hint(node, answer.edition);
+            reconsider_configuration();
+        });
+    const auto due = confirmation_.due(now);
+    if (!due) return;
+    confirmation_timer_.expires_at(clock_.point(std::max(*due, now + 1)));
+    confirmation_timer_.async_wait([this](error_code ec) {
+        if (!ec) reconsider_configuration();
+    });
+}
+
+void Proxy::ask_health(const config::Configuration& configuration) {
     if (boot_.first_boot || asked_health_ || !boot_.app_address || !inbound_.admission().life().empty())
         return;
-    const auto service = configuration->services.find(boot_.service);
-    if (service == configuration->services.end()) return;
+    const auto service = configuration.services.find(boot_.service);
+    if (service == configuration.services.end()) return;
     asked_health_ = true;
     // As large as the others of its service, until it says so itself.
     std::uint32_t capacity = kCapacityUnheard;
@@ -178,7 +226,9 @@
     Json::Value all;
     all["node"] = boot_.node_name;
     all["ready"] = ready();
-    all["configuration"] = Json::UInt64(distributor_.held() ? distributor_.held()->edition : 0);
+    all["configuration"] = Json::UInt64(in_force_);
+    all["configuration_held"] = Json::UInt64(distributor_.edition());
+    all["configuration_confirmed"] = told_confirmed_;
     all["life"] = inbound_.admission().life();
     all["capacity"] = inbound_.admission().capacity();
     all["closing"] = inbound_.admission().closing();
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,4 +1,4 @@
-// A proxy (standard term: sidecar proxy) put together: news, configuration, admission, callers' side, desk.
+// A sidecar proxy put together: gossip, configuration, admission, callers' side, APIs.
 // Entry type: Proxy. Made by the program cobaltshift-proxy.
 #pragma once
 
@@ -31,6 +31,12 @@
     void heard_beat(const Beat& beat);
     void heard_gone(const std::string& life);
     void took(std::shared_ptr<const config::Configuration> configuration);
+    // Puts what the distributor holds in force once it may be, and asks whether it is current
+    // (StartupConfirmation).
+    void reconsider_configuration();
+    void put_in_force(std::shared_ptr<const config::Configuration> configuration);
+    // Started again beside a server that runs on: its next heartbeat is up to heartbeat_s away.
+    void ask_health(const config::Configuration& configuration);
 
     void wind_down();
     void tally();
@@ -40,16 +46,20 @@
     Clock clock_;
     gossip_io::GossipTransport gossip_;
     config::ConfigDistributor distributor_;
+    config::StartupConfirmation confirmation_;
+    config::StartupConfirmation::State told_state_ = config::StartupConfirmation::State::waiting;
+    config::Edition in_force_ = 0;
+    std::unique_ptr<PacedLink> link_;
     Inbound inbound_;
     Outbound outbound_;
     Beats beats_;
     Ready ready_;
     api::ApiFront control_front_, ready_front_;
     Listener outbound_listener_, inbound_listener_, control_listener_, ready_listener_;
-    asio::steady_timer timer_, tally_timer_;
+    asio::steady_timer timer_, tally_timer_, confirmation_timer_;
     std::function<void()> stopped_;
     Millis stop_at_ = 0;
-    bool leaving_ = false, asked_health_ = false;
+    bool leaving_ = false, asked_health_ = false, told_confirmed_ = false;
 };
 
 }  // namespace cobaltshift::proxy
--- a/src/sim_mesh/facts.hpp
+++ b/src/sim_mesh/facts.hpp
@@ -36,6 +36,7 @@
     bool newer_only = true;            // a configuration that is older isn't taken
     bool fetches = true;               // news of a configuration is followed
     bool checks_changes = true;        // a hub judges a change
+    bool confirms_at_start = true;     // a proxy that starts asks which configuration is current
     bool hears_beats = true;           // a proxy that comes back finds its server again
 };
 
--- a/src/sim_mesh/node.cpp
+++ b/src/sim_mesh/node.cpp
@@ -160,6 +160,28 @@
     });
 }
 
+void Node::ask_current(Ip ip, std::function<void(config::CurrentAnswer)> done) {
+    auto over = std::make_shared<bool>(false);
+    const auto end = [done = std::move(done), over](const config::CurrentAnswer& answer) {
+        if (!std::exchange(*over, true)) done(answer);
+    };
+    const CallPtr call = world_.net.call(
+        ip_, ip, 0,
+        [&world = world_, end](const CallPtr& c) {
+            auto* hub = dynamic_cast<Hub*>(world.node(c->to));
+            if (!hub) return;
+            hub->read([&world, c, end](const control::Reply& reply) {
+                world.net.reply(c, [end, answer = control::current_answer(reply)] { end(answer); });
+            });
+        },
+        [end](bool) { end({}); });
+    after(kSilence, [this, call, over, end] {
+        if (*over) return;
+        world_.net.close(call);
+        end({});
+    });
+}
+
 void Node::fetched(Ip from, std::shared_ptr<const config::Configuration> got, bool answered) {
     const config::Edition before = edition();
     if (got) hold(std::move(got));
--- a/src/sim_mesh/node.hpp
+++ b/src/sim_mesh/node.hpp
@@ -5,6 +5,7 @@
 
 #include <map>
 
+#include "config/startup_confirmation.hpp"
 #include "gossip/gossip.hpp"
 #include "sim_mesh/network.hpp"
 #include "sim_mesh/rules.hpp"
@@ -30,6 +31,7 @@
     void tell(const std::function<void(registry::NodeRecord&)>& change);
     void hold(std::shared_ptr<const config::Configuration> configuration);
     void hint(Ip ip, config::Edition edition);
+    void ask_current(Ip ip, std::function<void(config::CurrentAnswer)> done);
     void unreachable(Ip ip);
     void after(Millis delay, Task what);
     std::vector<Ip> hubs() const;
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -17,8 +17,10 @@
     : Node(world, ip, registry::NodeRole::proxy),
       service_(std::move(service)),
       first_boot_(first_boot),
-      inbound_(*this, world) {
+      inbound_(*this, world),
+      confirmation_({}, world.time.now()) {
     begin();
+    after(0, [this] { reconsider_configuration(); });
 }
 
 // ---- Servers ---------------------------------------------------------------------------------------------
@@ -99,14 +101,35 @@
     for (const Ip hub : hubs()) hint(hub, edition);
 }
 
-void Proxy::took() {
-    for (const auto& [name, service] : held()->services) {
-        auto& pool = pools_[name];
-        if (pool) continue;
-        pool = std::make_unique<Pool>(*this, world_, world_.draw(),
-                                      world_.zone_number(world_.net.machine(ip_).zone));
-        registry_changed();
+void Proxy::reconsider_configuration() {
+    const bool may = confirmation_.usable(now(), edition()) || !world_.safeguards.confirms_at_start;
+    if (held() && held() != in_force_ && may) {
+        in_force_ = held();
+        for (const auto& [name, service] : in_force_->services) {
+            auto& pool = pools_[name];
+            if (pool) continue;
+            pool = std::make_unique<Pool>(*this, world_, world_.draw(),
+                                          world_.zone_number(world_.net.machine(ip_).zone));
+            registry_changed();
+        }
     }
+    if (const auto node = confirmation_.next_to_ask(now(), hubs()))
+        ask_current(*node, [this, node = *node](const config::CurrentAnswer& answer) {
+            confirmation_.on_answer(answer);
+            if (answer.kind == config::CurrentAnswer::Kind::current) hint(node, answer.edition);
+            reconsider_configuration();
+        });
+    const auto due = confirmation_.due(now());
+    if (!due || *due == confirmation_armed_) return;
+    confirmation_armed_ = *due;
+    after(std::max(0.0, *due - now()) + 1, [this] {
+        confirmation_armed_ = 0;
+        reconsider_configuration();
+    });
+}
+
+void Proxy::took() {
+    reconsider_configuration();
     tell([this](registry::NodeRecord& own) { own.config_edition = edition(); });
     if (first_boot_ || asked_health_ || !inbound_.admission().life().empty() ||
         !world_.safeguards.hears_beats)
@@ -148,12 +171,12 @@
 std::uint64_t Proxy::request(const RequestPtr& request, Pool::Answered done) {
     const std::uint64_t number = next_++;
     world_.rules.tell(
-        [&](Checker& c) { c.handled(ip_, world_.net.machine(ip_).epoch, *request, held().get()); });
-    if (!held()) {
+        [&](Checker& c) { c.handled(ip_, world_.net.machine(ip_).epoch, *request, in_force_.get()); });
+    if (!in_force_) {
         done({503, {}, kRetryUnsettled, false});
         return number;
     }
-    const config::Route* route = held()->find(request->host, request->path);
+    const config::Route* route = in_force_->find(request->host, request->path);
     if (!route) {
         done({404, {}, 0, false});
         return number;
--- a/src/sim_mesh/proxy.hpp
+++ b/src/sim_mesh/proxy.hpp
@@ -63,7 +63,9 @@
     // For clients: `done` once; the number withdraws it.
     std::uint64_t request(const RequestPtr& request, Pool::Answered done);
     void client_gone(std::uint64_t number);
-    bool ready() const { return !leaving_ && held() && gossip().joined(); }
+    bool ready() const { return !leaving_ && in_force() && gossip().joined(); }
+    // What requests go by; none: what is held may not be in force yet (StartupConfirmation).
+    const std::shared_ptr<const config::Configuration>& in_force() const { return in_force_; }
 
     bool beat(const Server& server, bool closing, std::uint64_t seq);  // true: acknowledged
     void server_gone(const std::string& life);
@@ -81,18 +83,22 @@
     void heard_of(Ip ip, config::Edition edition) override { hint(ip, edition); }
     void took() override;
     void list_servers();
+    void reconsider_configuration();
     void wind_down(Millis stop_at, const Task& done);
     const std::string& choose(const config::Route& route);
 
     const std::string service_;
     const bool first_boot_;
     Inbound inbound_;
+    config::StartupConfirmation confirmation_;
+    std::shared_ptr<const config::Configuration> in_force_;
     std::map<std::string, std::unique_ptr<Pool>> pools_;
     std::map<std::uint64_t, std::pair<Pool*, std::uint64_t>> numbers_;
     std::uint64_t next_ = 1;
     std::map<std::string, Millis> avoided_, born_;
     std::map<std::string, Ip> ip_of_;
     bool listing_ = false, asked_health_ = false;
+    Millis confirmation_armed_ = 0;
 };
 
 }  // namespace cobaltshift::simmesh
--- a/tests/mesh/control_test.cpp
+++ b/tests/mesh/control_test.cpp
@@ -304,7 +304,7 @@
 
 TEST_CASE("control: 500 routes go through as one change, and reach a newcomer as a snapshot") {
     ReplicaSettings settings;
-    settings.compact_entries = 4;
+    settings.checkpoint_entries = 4;
     ReplicaWorld world(13, settings);
     const std::uint32_t leader = world.await_leader();
     const config::Change big = put(0, 1, "", 500);
@@ -324,8 +324,8 @@
     ReplicaWorld world(14);
     for (config::Edition n = 0; n < 200; ++n) must_put(world, n, n + 1);
     for (const auto& [ip, hub] : world.hubs) {
-        CHECK(hub.replica->raft().log().size() <= 2 * world.settings.compact_entries);
-        CHECK(hub.disk->entries.size() <= 2 * world.settings.compact_entries);
+        CHECK(hub.replica->raft().log().size() <= 2 * world.settings.checkpoint_entries);
+        CHECK(hub.disk->entries.size() <= 2 * world.settings.checkpoint_entries);
     }
 }
 
