--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -55,6 +55,9 @@
     if (closing_) return {Act::refuse, Reason::closing};
     if (now >= offer.deadline) return {Act::refuse, Reason::late};
     if (offer.once && ran_.contains(offer.id)) return {Act::refuse, Reason::repeated};
+    const Millis at_server = pace_ * (offer.due - now);
+    if (offer.link_time > 0 && too_late(std::max(at_server, offer.link_wait) + offer.link_time, offer, now))
+        return {Act::refuse, Reason::full};
     if (working_.size() < capacity_ && queue_.empty()) {
         start(offer, offer.due - now);
         return {Act::begin, {}};
@@ -67,13 +70,18 @@
                       offer.ticket};
     const Millis ready = wait_before(order) + pace_ * target;
     if (ready > left) return {Act::refuse, Reason::late};
-    if (ready > std::max(settings_.hopeful * target, std::min(left / 2, settings_.patience)))
+    if (too_late(std::max(ready, offer.link_wait) + offer.link_time, offer, now))
         return {Act::refuse, Reason::full};
     queue_.emplace(order, Waiting{offer, now});
     places_.emplace(offer.ticket, order);
     return {Act::wait, {}};
 }
 
+bool Admission::too_late(Millis expected, const Offer& offer, Millis now) const {
+    const Millis target = offer.due - now, left = offer.deadline - now;
+    return expected > std::max(settings_.hopeful * target, std::min(left / 2, settings_.patience));
+}
+
 Millis Admission::wait_before(const Order& order) const {
     // One of those at work has to end first.
     Millis before = pace_ * targets_ / std::max<double>(1, static_cast<double>(working_.size()));
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -4,6 +4,8 @@
 // over capacity. Entry type: Admission. Called by proxy::Inbound; free of I/O: events go in with their time,
 // what may begin comes out.
 //
+// Besides slots, the machine's link is a resource: what it can't carry in time is refused before it runs.
+//
 // Invariants:
 //   working() <= max(capacity, what it was when they began)      begin() only while there is a slot
 //   what was answered not_run is forgotten: it never began        refuse() is the only other way out of the
@@ -41,6 +43,8 @@
     int rank = 0;          // the route's priority, 0 highest
     Millis deadline = 0;   // of its client
     Millis due = 0;        // when its answer is worth most at the latest: the order of the queue
+    // Of a long answer: until the machine's link has carried what was promised before, and for its own bytes.
+    Millis link_wait = 0, link_time = 0;
 };
 
 enum class Act : std::uint8_t { begin, wait, refuse };
@@ -102,6 +106,8 @@
         Millis since;
     };
     Millis wait_before(const Order& order) const;
+    // An answer expected so much later would come too late to be worth a slot, or the link.
+    bool too_late(Millis expected, const Offer& offer, Millis now) const;
     bool open() const { return !life_.empty() && !closing_ && !leaving_; }
     void new_life(const std::string& life);
     void remember(const std::string& id);
--- a/src/boot/boot.cpp
+++ b/src/boot/boot.cpp
@@ -123,6 +123,7 @@
     b.heartbeat_s = f.within("heartbeat_s", 1.5, 0, 3600);
     b.cpu_share = f.within("limits.cpu_share", 1, 0, 1024);
     b.memory_mb = static_cast<std::size_t>(f.within("limits.memory_mb", 256, 1, 1 << 24));
+    b.link_mbps = f.within("limits.link_mbps", 0, 0, 1e6);
     b.file_limit = static_cast<std::size_t>(f.within("limits.file_limit", 1024, 256, 1 << 24));
     for (const std::string& bound : items(f.text("bounds"))) {
         const auto sign = bound.find('=');
--- a/src/boot/boot.hpp
+++ b/src/boot/boot.hpp
@@ -29,6 +29,7 @@
     std::string data_dir;      // empty: no disk
     double heartbeat_s = 1.5;  // of servers
     double cpu_share = 1;      // of a core
+    double link_mbps = 0;      // of this machine's link, in Mbit/s; 0: not known
     std::size_t memory_mb = 256, file_limit = 1024;
     std::map<std::string, double> bounds;  // in the units that their names end with; booleans as 0 and 1
     std::optional<tcp::endpoint> app_address;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,5 +1,7 @@
 #include "net/listener.hpp"
 
+#include <sstream>
+
 #include "log/log.hpp"
 #include "net/form.hpp"
 
@@ -71,6 +73,7 @@
         if (state_ == State::closed) return;
         const State before = state_;
         enter(State::closed);
+        if (paced_ != 0) owner_.link_->withdraw(std::exchange(paced_, 0));
         error_code ignored;
         socket_.close(ignored);
         release();
@@ -235,14 +238,35 @@
         keep = keep && !owner_.draining_ && !owner_.crowded();
         out_.keep_alive(keep);
         out_.prepare_payload();
+        if (owner_.link_ && write_paced(keep)) return;
         http::async_write(socket_, out_, [this, self = shared_from_this(), keep](error_code ec, std::size_t) {
-            if (state_ != State::writing) return;
-            out_ = {};
-            if (ec || left_) return close();
-            if (keep) return idle();
-            linger();
+            written(ec, keep);
         });
     }
+    void written(error_code ec, bool keep) {
+        if (state_ != State::writing) return;
+        out_ = {};
+        paced_ = 0;
+        if (ec || left_) return close();
+        if (keep) return idle();
+        linger();
+    }
+    // Long answers take turns on the machine's link. False: it is short, and goes out at once.
+    bool write_paced(bool keep) {
+        if (!owner_.link_->is_long(out_.body().size())) {
+            owner_.link_->sent(out_.body().size());
+            return false;
+        }
+        std::ostringstream head;
+        head << out_.base();
+        std::string bytes = std::move(head).str();
+        bytes += out_.body();
+        out_ = {};
+        paced_ = owner_.link_->write(
+            socket_, std::move(bytes),
+            [this, self = shared_from_this(), keep](error_code ec) { written(ec, keep); });
+        return true;
+    }
 
     // Closed with bytes unread, the kernel would reset the connection and the answer with it.
     void linger() {
@@ -268,6 +292,7 @@
     beast::flat_buffer in_;
     std::optional<http::request_parser<http::string_body>> parser_;
     HttpResponse out_;
+    PacedLink::Write paced_ = 0;  // of a long answer that takes turns with others; 0: none
     RequestId id_ = 0;
     std::string open_name_;
     std::size_t head_bytes_ = 0, claimed_ = 0, discarded_ = 0;
@@ -275,8 +300,15 @@
     Millis since_ = 0, began_ = 0, until_ = 0;  // in this state; its request; closed or told off after
 };
 
-Listener::Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits)
-    : io_(io), clock_(clock), front_(front), limits_(limits), acceptor_(io), retry_(io), sweep_(io) {}
+Listener::Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits, PacedLink* link)
+    : io_(io),
+      clock_(clock),
+      front_(front),
+      limits_(limits),
+      link_(link),
+      acceptor_(io),
+      retry_(io),
+      sweep_(io) {}
 Listener::~Listener() = default;
 
 void Listener::listen(const tcp::endpoint& at) {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -11,6 +11,7 @@
 
 #include "net/clock.hpp"
 #include "net/front.hpp"
+#include "net/paced_link.hpp"
 
 namespace cobaltshift {
 
@@ -21,7 +22,9 @@
         std::size_t clients_hold = 300;     // the most that the clients' end holds for requests
         std::size_t body_bytes = 16 << 20;  // of all requests held at a time
     };
-    Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits);
+    // `link`: by which long answers take turns; none: each is written as fast as its client reads.
+    Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits,
+             PacedLink* link = nullptr);
     ~Listener();
 
     void listen(const tcp::endpoint& at);  // throws if it can't
@@ -73,6 +76,7 @@
     const Clock& clock_;
     Front& front_;
     Limits limits_;
+    PacedLink* const link_;
     tcp::acceptor acceptor_;
     asio::steady_timer retry_, sweep_;
     Sessions sessions_;                          // those quiet longest come first
--- /dev/null
+++ b/src/net/paced_link.hpp
@@ -0,0 +1,58 @@
+// Writes answers to sockets that share one machine's link, in the order and at the rate that SendScheduler
+// says. Entry type: PacedLink, one for all that leaves a process over that link. Called by Listener. Not used
+// where no rate is known: a Listener without one writes as it always did.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <unordered_map>
+
+#include "net/clock.hpp"
+#include "net/http.hpp"
+#include "net/send_scheduler.hpp"
+
+namespace cobaltshift {
+
+class PacedLink {
+public:
+    // `bytes_per_ms` of the link, over 0.
+    PacedLink(asio::io_context& io, const Clock& clock, double bytes_per_ms);
+    ~PacedLink();
+    PacedLink(const PacedLink&) = delete;
+    PacedLink& operator=(const PacedLink&) = delete;
+
+    bool is_long(std::size_t bytes) const { return scheduler_.is_long(bytes); }
+    // A short answer is being written by its owner.
+    void sent(std::size_t bytes) { scheduler_.sent(clock_.now(), bytes); }
+    // Writes `bytes` by turns; `done` once all is with the kernel, or with the error that ended it, unless
+    // withdrawn before. `socket` must live until then.
+    using Write = SendScheduler::Id;
+    Write write(tcp::socket& socket, std::string bytes, std::function<void(error_code)> done);
+    void withdraw(Write write);
+
+    // How long the link is taken by what waits for it, in ms.
+    Millis backlog() const { return scheduler_.backlog(clock_.now()); }
+    double bytes_per_ms() const { return bytes_per_ms_; }
+
+private:
+    struct Writing {
+        tcp::socket* socket;
+        std::string bytes;
+        std::size_t done = 0;
+        std::function<void(error_code)> finished;
+    };
+    void pump();
+    void wrote(Write write, error_code ec, std::size_t bytes);
+
+    asio::io_context& io_;
+    const Clock& clock_;
+    const double bytes_per_ms_;
+    SendScheduler scheduler_;
+    std::unordered_map<Write, Writing> writing_;
+    asio::steady_timer timer_;
+    Millis armed_for_ = 0;
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace cobaltshift
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -31,11 +31,13 @@
 }
 }  // namespace
 
-Inbound::Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around)
+Inbound::Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+                 const PacedLink* link)
     : io_(io),
       clock_(clock),
       boot_(boot),
       around_(std::move(around)),
+      link_(link),
       upstream_(io, clock, Upstream::Limits{kConnectWithin, kIdleClose, kConnections, kSettle, 0},
                 {[this](AttemptKey key, Outcome outcome, HttpResponse* response) {
                      ended(key.id, outcome, response);
@@ -131,6 +133,8 @@
     job.message = std::move(request);
     job.client = std::move(client);
     job.deadline = offer.deadline;
+    job.kind = {static_cast<int>(hop.kind), hop.rank, static_cast<long>(hop.target_ms)};
+    promise_link(job, offer);
     const admission::Answer said = admission_.offer(now, offer);
     if (said.act == admission::Act::begin) begin(ticket);
     if (said.act == admission::Act::refuse) answer(ticket, own_answer({Execution::not_run, said.reason}));
@@ -138,6 +142,22 @@
     return ticket;
 }
 
+// Long answers alone: short ones pass between their pieces.
+void Inbound::promise_link(Job& job, admission::Offer& offer) {
+    if (!link_) return;
+    const double bytes = answer_sizes_.expected(job.kind);
+    if (!link_->is_long(static_cast<std::size_t>(bytes))) return;
+    offer.link_wait = link_->backlog() + promised_bytes_ / link_->bytes_per_ms();
+    offer.link_time = bytes / link_->bytes_per_ms();
+    job.promised_bytes = bytes;
+    promised_bytes_ += bytes;
+}
+
+void Inbound::forget(std::unordered_map<admission::Ticket, Job>::iterator job) {
+    promised_bytes_ -= job->second.promised_bytes;
+    jobs_.erase(job);
+}
+
 void Inbound::begin(admission::Ticket ticket) {
     Job& job = jobs_.at(ticket);
     job.at_work = true;
@@ -157,6 +177,7 @@
     HttpResponse said;
     bool worked = true;
     if (response) {
+        answer_sizes_.learn(at->second.kind, response->body().size());
         said = leaf::try_handle_all(
             [&]() -> leaf::result<HttpResponse> { return server_answer(std::move(*response)); },
             [&](const Failure& failure) {
@@ -180,7 +201,7 @@
     const auto at = jobs_.find(ticket);
     if (at == jobs_.end()) return;
     const auto client = at->second.client.lock();
-    jobs_.erase(at);
+    forget(at);
     if (!client) return;
     if (around_.edition() > 0) response.set(kEdition, std::to_string(around_.edition()));
     client->answer(std::move(response));
@@ -191,7 +212,7 @@
     if (at == jobs_.end()) return;
     if (at->second.at_work) return upstream_.cancel({id, 0});  // ended() follows
     admission_.withdraw(id);
-    jobs_.erase(at);
+    forget(at);
 }
 
 void Inbound::look_soon() {
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -9,9 +9,11 @@
 #include <unordered_map>
 
 #include "admission/admission.hpp"
+#include "admission/answer_sizes.hpp"
 #include "boot/boot.hpp"
 #include "net/clock.hpp"
 #include "net/front.hpp"
+#include "net/paced_link.hpp"
 #include "net/upstream.hpp"
 #include "proxy/hop.hpp"
 
@@ -23,7 +25,9 @@
         std::function<std::uint64_t()> edition;
         std::function<void(std::uint64_t edition)> newer;  // a caller holds a newer one
     };
-    Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around);
+    // `link`: of this machine, over which answers leave; none: its rate is not known.
+    Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+            const PacedLink* link = nullptr);
 
     // The server's own word (from its beats); see Admission.
     bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
@@ -48,7 +52,11 @@
         std::weak_ptr<Client> client;
         Millis deadline = 0, began = 0;
         bool at_work = false;
+        admission::AnswerSizes::Kind kind;
+        double promised_bytes = 0;  // of the link, until its answer is handed to it
     };
+    void promise_link(Job& job, admission::Offer& offer);
+    void forget(std::unordered_map<admission::Ticket, Job>::iterator job);
     void begin(admission::Ticket ticket);
     void ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response);
     void answer(admission::Ticket ticket, HttpResponse response);
@@ -60,6 +68,9 @@
     const boot::Boot& boot_;
     Around around_;
     admission::Admission admission_;
+    const PacedLink* const link_;
+    admission::AnswerSizes answer_sizes_;
+    double promised_bytes_ = 0;
     Upstream upstream_;
     std::unordered_map<admission::Ticket, Job> jobs_;
     std::map<std::pair<Millis, admission::Ticket>, bool> deadlines_;  // of those at work
