--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -276,9 +276,10 @@
     if (applied_ <= since) return;
     if (applied_ - since < settings_.checkpoint_entries && checkpoint_bytes_ < settings_.checkpoint_bytes)
         return;
-    // Whoever is being sent the snapshot would have to begin anew.
-    if (raft_.sending_snapshots(now) && log_bytes_ < settings_.transfer_log_bytes) return;
     if (checkpoint_) {
+        // A member that lags would have to be sent the state once more, and once more after that.
+        const bool needed = raft_.held_by_all(now) < checkpoint_->index;
+        if (needed && log_bytes_ < settings_.lagging_log_bytes) return;
         raft_.compact(checkpoint_->index, std::move(checkpoint_->state));
         log_bytes_ = checkpoint_bytes_;
         ++counts_.compactions;
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -23,8 +23,12 @@
 
 using raft::Millis;
 
+// Sent to one member and not yet acknowledged: a link of 6.4 Mbit/s carries it well within an election's
+// time.
+constexpr std::size_t kWindowBytes = 128 * 1024;
+
 struct ReplicaSettings {
-    raft::Settings agree;
+    raft::Settings agree{.batch_bytes = kWindowBytes / 2, .window_bytes = kWindowBytes};
     Millis answer_within = 900;   // of a call that waits
     Millis leader_fresh = 500;    // heard within: callers are sent there
     Millis removed_after = 2500;  // a member unheard so long is dropped,
@@ -36,9 +40,8 @@
     // a snapshot.
     std::size_t checkpoint_entries = 64;
     std::size_t checkpoint_bytes = 256 * 1024;
-    // The log may grow to this while a snapshot is on its way to a member, which then finds all that follows
-    // it.
-    std::size_t transfer_log_bytes = 4 * 1024 * 1024;
+    // The log may grow to this while a member that is heard lags behind the checkpoint.
+    std::size_t lagging_log_bytes = 4 * 1024 * 1024;
     std::size_t most_waiting = 256;  // calls; further ones are sent away
 };
 
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -26,6 +26,7 @@
         if (hear < majority()) return follow(now, term_, kNobody);
         if (transfer_to_ != kNobody && now >= transfer_until_) transfer_to_ = kNobody;
         reconsider_members(now);
+        commit_before_ = commit_;
         broadcast(now, true);
         return;
     }
@@ -103,9 +104,9 @@
         peer.next = last() + 1;
         peer.heard = now;  // so long it has to speak up
     }
-    tick_round_ = round_;
     append({term_, Entry::Kind::nothing, {}});
     term_start_ = last();
+    commit_before_ = term_start_;  // nobody is taken in before the own entry is committed
     heartbeat_due_ = now + settings_.heartbeat;
     broadcast(now);
     maybe_commit();
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -77,7 +77,9 @@
     for (const Member& member : members_) {
         const auto peer = peers_.find(member.id);
         if (member.voter || peer == peers_.end() || !peer->second.active) continue;
-        if (peer->second.match < commit_ || now > peer->second.heard + settings_.election) continue;
+        // All that was committed a heartbeat ago: under steady changes nobody ever has what was committed
+        // just now.
+        if (peer->second.match < commit_before_ || now > peer->second.heard + settings_.election) continue;
         Members to = members_;
         for (Member& one : to)
             if (one.id == member.id) one.voter = true;
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -48,7 +48,7 @@
     Millis heartbeat = 100;     // of a leader, and the longest wait of a batch for the round before it
     Millis election = 1000;     // without a leader, before one stands: up to twice as long, drawn
     std::size_t batch_bytes = 256 * 1024;        // in one message
-    std::size_t window_bytes = 4 * 1024 * 1024;  // sent to one keeper and not yet acknowledged
+    std::size_t window_bytes = 4 * 1024 * 1024;  // sent to one member and not yet acknowledged
 };
 
 struct Committed {
@@ -99,8 +99,9 @@
     // until another leads or an election's time has passed. False: it does not lead, or nobody is there.
     bool transfer_leadership(Millis now);
     bool transferring_leadership() const { return transfer_to_ != kNobody; }
-    // A member that is heard lacks what the log no longer holds: compacting now would make it begin anew.
-    bool sending_snapshots(Millis now) const;
+    // Of a leader: up to where every member that is heard has the log. Compacted further, it would send the
+    // rest of them a snapshot. Of others: the end of the log.
+    Index held_by_all(Millis now) const;
     // All up to `index` is in `data`, which the caller has applied.
     void compact(Index index, std::string data);
 
@@ -130,6 +131,8 @@
     struct Peer {
         Index match = 0, next = 1;
         std::size_t out_bytes = 0;  // sent beyond match
+        bool match_known = false;   // by a word of its own in this term
+        Millis progressed_at = 0;   // when match last grew, or all beyond it was sent anew
         std::uint64_t round = 0;    // the newest acknowledged
         Millis heard = 0;
         bool active = false;                     // heard in this term
@@ -169,8 +172,9 @@
     void stand(Millis now, Stand how);
     void count_votes(Millis now);
     void lead(Millis now);
-    void broadcast(Millis now, bool again = false);  // `again`: what got no word since the last heartbeat
+    void broadcast(Millis now, bool again = false);  // `again`: also what seems lost
     void send_entries(MemberId to, bool even_if_empty);
+    Millis resend_after(const Peer& peer) const;
     std::optional<Message> hear_leader(Millis now, const Message& m);
     void on_append(Millis now, const Message& m);
     void send_snapshot(Millis now, MemberId to, Peer& peer);
@@ -223,7 +227,8 @@
     Millis transfer_until_ = 0;
     bool transfer_asked_ = false;
     Index term_start_ = 0;
-    std::uint64_t round_ = 0, tick_round_ = 0;  // the newest; the one that the last heartbeat began
+    Index commit_before_ = 0;  // as of the heartbeat before
+    std::uint64_t round_ = 0;  // the newest
     bool round_wanted_ = false;
     std::vector<Question> questions_;
     std::vector<std::uint64_t> confirmed_;
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 constexpr std::uint64_t kMostQuestions = 100000;
+constexpr double kNarrowestLinkBytesPerMs = 500;  // 4 Mbit/s
 }  // namespace
 
 void RaftNode::broadcast(Millis now, bool again) {
     ++round_;
     round_wanted_ = false;
-    const std::uint64_t since = tick_round_;
-    if (again) tick_round_ = round_;
     for (auto& [id, peer] : peers_) {
-        // Whatever was sent and got no word since the last heartbeat may be lost.
-        if (again && peer.match + 1 < peer.next && peer.round < since)
-            peer.next = peer.match + 1, peer.out_bytes = 0;
+        if (again && peer.match_known && peer.match + 1 < peer.next &&
+            now >= peer.progressed_at + resend_after(peer)) {
+            peer.next = peer.match + 1;
+            peer.out_bytes = 0;
+            peer.progressed_at = now;
+        }
         if (peer.next <= snapshot_.index) {
             Message m = message(Message::Kind::append, id);  // a heartbeat all the same
             m.index = m.log_term = 0;
@@ -32,15 +34,27 @@
     confirm_reads();
 }
 
+// What was sent and got no word for so long may be lost: a datagram soon, what is long not before even a
+// narrow link has carried it. Sent again too early, it would fill that link.
+Millis RaftNode::resend_after(const Peer& peer) const {
+    return settings_.heartbeat + static_cast<double>(peer.out_bytes) / kNarrowestLinkBytesPerMs;
+}
+
 void RaftNode::send_entries(MemberId to, bool even_if_empty) {
     Peer& peer = peers_.at(to);
     if (peer.next <= snapshot_.index) return;  // a snapshot first, with the next round
     do {
         Message m = message(Message::Kind::append, to);
-        m.index = peer.next - 1;
+        // A heartbeat overtakes entries that are on their way: it builds on what is known to have arrived, as
+        // a gap before it would have them all sent again.
+        const bool may_send = peer.next <= last() && peer.out_bytes < settings_.window_bytes;
+        const bool overtakes =
+            !may_send && peer.match_known && peer.out_bytes > 0 && peer.match >= snapshot_.index;
+        m.index = overtakes ? peer.match : peer.next - 1;
         m.log_term = term_at(m.index);
         m.commit = commit_;
         m.round = round_;
+        if (may_send && peer.out_bytes == 0) peer.progressed_at = now_;
         std::size_t bytes = 0;
         while (peer.next <= last() && bytes < settings_.batch_bytes &&
                m.entries.size() < kMaxEntriesInMessage && peer.out_bytes < settings_.window_bytes) {
@@ -56,6 +70,13 @@
     } while (peer.next <= last() && peer.out_bytes < settings_.window_bytes);
 }
 
+Index RaftNode::held_by_all(Millis now) const {
+    Index least = last();
+    for (const auto& [id, peer] : peers_)
+        if (now <= peer.heard + 2 * settings_.election) least = std::min(least, peer.match);
+    return least;
+}
+
 std::optional<Index> RaftNode::propose(std::string data) {
     if (!leads() || retired_ || transferring_leadership() || data.size() > kMaxEntryBytes) return {};
     append({term_, Entry::Kind::data, std::move(data)});
@@ -181,8 +202,10 @@
     Peer& peer = *member;
     if (m.ok) {
         if (m.index > last()) return;  // of no log of this leader's
+        peer.match_known = true;
         if (m.index > peer.match) {
             peer.match = m.index;
+            peer.progressed_at = now;
             peer.match_starts = m.run.starts;
             peer.out_bytes = 0;
             for (Index i = std::max(peer.match + 1, first()); i < peer.next; ++i)
@@ -194,6 +217,7 @@
     } else if (m.index + 1 < peer.next && m.index >= peer.match) {
         peer.next = m.index + 1;
         peer.out_bytes = 0;
+        peer.match_known = true;
     } else {
         confirm_reads();
         return;
--- a/src/raft/snapshot_transfer.cpp
+++ b/src/raft/snapshot_transfer.cpp
@@ -83,12 +83,6 @@
 
 // ---- Of a member -----------------------------------------------------------------------------------------
 
-bool RaftNode::sending_snapshots(Millis now) const {
-    return std::any_of(peers_.begin(), peers_.end(), [&](const auto& at) {
-        return at.second.transfer && now <= at.second.heard + 2 * settings_.election;
-    });
-}
-
 // As much of the snapshot as the window allows, to a member that lacks what the log no longer holds.
 void RaftNode::send_snapshot(Millis now, MemberId to, Peer& peer) {
     if (!peer.transfer || peer.transfer->snapshot().index != snapshot_.index) {
--- a/src/raft/snapshot_transfer.hpp
+++ b/src/raft/snapshot_transfer.hpp
@@ -17,7 +17,7 @@
 namespace cobaltshift::raft {
 
 constexpr std::size_t kSnapshotPieceBytes = 64 * 1024;
-constexpr std::size_t kSnapshotWindowBytes = 4 * kSnapshotPieceBytes;
+constexpr std::size_t kSnapshotWindowBytes = 2 * kSnapshotPieceBytes;
 
 // XXH3 of a snapshot's data: two snapshots of one index, term and digest are the same bytes.
 std::uint64_t digest_of(const Snapshot& snapshot);
--- a/src/sim/check/describe.cpp
+++ b/src/sim/check/describe.cpp
@@ -59,17 +59,19 @@
             .number(p.match)
             .number(p.next)
             .number(p.out_bytes)
+            .time(p.progressed_at)
             .number(p.round)
             .time(p.heard)
             .number(p.transfer ? p.transfer->snapshot().index : 0)
             .number(p.transfer ? p.transfer->acknowledged() : 0)
             .number(p.transfer ? p.transfer->sent() : 0)
             .number(p.active)
+            .number(p.match_known)
             .number(p.match_starts);
     for (const auto& [id, seen] : k.seen_)
         s.number(id).number(seen.run.starts).number(seen.run.draw).number(seen.term);
     for (const auto& [number, joiner] : k.joiners_) s.number(number).number(joiner.id).time(joiner.heard);
-    s.number(k.term_start_).number(k.round_).number(k.tick_round_);
+    s.number(k.term_start_).number(k.commit_before_).number(k.round_);
     for (const auto& q : k.questions_) s.number(q.number).number(q.round);
     for (const auto q : k.confirmed_) s.number(q);
     s.number(k.transfer_to_)
--- a/tests/mesh/control_test.cpp
+++ b/tests/mesh/control_test.cpp
@@ -527,8 +527,13 @@
         }
         REQUIRE(world.await(
             [&] {
+                // A member is taken in with what was committed a heartbeat ago: that it has the rest is asked
+                // as well.
                 for (const auto& [ip, hub] : world.hubs)
-                    if (!world.settled(ip)) return false;
+                    if (!world.settled(ip) ||
+                        hub.replica->state_machine().edition() !=
+                            world.hubs[world.leader()].replica->state_machine().edition())
+                        return false;
                 return true;
             },
             8000));
