--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -8,6 +8,7 @@
 #include <iterator>
 
 #include "lab/check_lease.hpp"
+#include "lab/control_world.hpp"
 #include "lab/cost.hpp"
 #include "lab/demo.hpp"
 #include "lab/experiment.hpp"
@@ -103,6 +104,8 @@
     CLI::App* replayed =
         app.add_subcommand("replay", "plays one day of the world and shows what broke a rule");
     replayed->add_option("SEED", again.seed, "of a drawn day");
+    bool control_day = false;
+    replayed->add_flag("--control", control_day, "the seed is of a day of the control plane");
     replayed->add_flag("--lease", again.lease, "the seed is of a day of keepers and holders");
     replayed->add_option("--case", again.file, "plays the case in this file instead");
     replayed->add_flag("--all", again.all, "prints all that happens");
@@ -182,6 +185,7 @@
         if (acted->parsed()) return acting.run();
         if (scripted->parsed()) return cost_script(requests);
         if (compared->parsed()) return compare(before, after, std::cout, std::cerr);
+        if (replayed->parsed() && control_day) return replay_control_day(again.seed);
         if (replayed->parsed()) return replay(again);
         if (serve->parsed()) return up(servers, forwarders, run.seed);
         for (const Scenario& scenario : scenarios())
--- a/src/lab/scenarios.cpp
+++ b/src/lab/scenarios.cpp
@@ -1,4 +1,5 @@
 // The table of scenarios. Each is a command of cobaltshift-lab under its name.
+#include "lab/control_world.hpp"
 #include "lab/cost.hpp"
 #include "lab/lease_cost.hpp"
 #include "lab/lease_world.hpp"
@@ -16,6 +17,9 @@
         {"plan-world", "500 (quick) or 20,000 days of faults in virtual time: no rule is broken", plan_world},
         {"lease-world", "2,000 (quick) or 20,000 days of keepers and holders: no two ever act at once",
          lease_world},
+        {"control-world",
+         "1,000 (quick) or 20,000 days of the control plane: cuts, races, losses, many changes; linearizable",
+         control_world},
         {"leases", "keepers and holders as processes, links and machines failing: no two ever act at once",
          leases},
         {"lease-cost", "rights and entries a second, syncs, CPU, time without a leader, on processes",
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -19,6 +19,7 @@
       first_boot_(first_boot),
       inbound_(*this, world),
       confirmation_({}, world.time.now()) {
+    started_at_ = world.time.now();
     begin();
     after(0, [this] { reconsider_configuration(); });
 }
@@ -104,7 +105,12 @@
 void Proxy::reconsider_configuration() {
     const bool may = confirmation_.usable(now(), edition()) || !world_.safeguards.confirms_at_start;
     if (held() && held() != in_force_ && may) {
+        const bool first = !in_force_;
         in_force_ = held();
+        const bool unconfirmed =
+            confirmation_.state(now(), edition()) == config::StartupConfirmation::State::unconfirmed;
+        if (first && !unconfirmed)
+            world_.rules.tell([&](Checker& c) { c.started_with(edition(), started_at_); });
         for (const auto& [name, service] : in_force_->services) {
             auto& pool = pools_[name];
             if (pool) continue;
--- a/src/sim_mesh/proxy.hpp
+++ b/src/sim_mesh/proxy.hpp
@@ -98,7 +98,7 @@
     std::map<std::string, Millis> avoided_, born_;
     std::map<std::string, Ip> ip_of_;
     bool listing_ = false, asked_health_ = false;
-    Millis confirmation_armed_ = 0;
+    Millis confirmation_armed_ = 0, started_at_ = 0;
 };
 
 }  // namespace cobaltshift::simmesh
--- a/src/sim_mesh/rules.cpp
+++ b/src/sim_mesh/rules.cpp
@@ -131,6 +131,12 @@
                 break;
             }
     }
+    void started_with(config::Edition edition, Millis started) override {
+        for (const auto& [at, acked] : acks_)
+            if (at < started && acked > edition)
+                return rules_.accuse("CONFIG", "a proxy began with r" + std::to_string(edition) + " after r" +
+                                                   std::to_string(acked) + " was acknowledged");
+    }
     void read_back(const std::string& mark, config::Edition edition) override {
         config::Edition newest = 0;
         for (const auto& [at, acked] : acks_) newest = std::max(newest, acked);
--- a/src/sim_mesh/rules.hpp
+++ b/src/sim_mesh/rules.hpp
@@ -60,6 +60,9 @@
     virtual void arrived(const Run&) {}  // at a server, whatever it does with it
     virtual void ran(const Run&) {}
     virtual void answered(const Request&, const Answer&) {}
+    // A proxy that began at `started` goes by this configuration first, and does not say that it is
+    // unconfirmed.
+    virtual void started_with(config::Edition, Millis /*started*/) {}
     virtual void handled(Ip, std::uint64_t /*epoch*/, const Request&, const config::Configuration*) {}
     virtual void closing(Ip, const std::string& /*life*/) {}  // acknowledged
     virtual void ordered(const Order&) {}
--- a/tests/mesh/checkers_test.cpp
+++ b/tests/mesh/checkers_test.cpp
@@ -65,6 +65,14 @@
     check_red("DRAIN", kTraffic + "at 10 close proxy 1 for=2", &Safeguards::closing_at_admission);
 }
 
+// Who starts takes the first configuration that it is told of: a control node's that is cut off.
+TEST_CASE("CONFIG: a proxy that starts does not ask whether its configuration is current") {
+    const std::string text =
+        "fleet proxies=6 hubs=3 zones=3 services=2 seed=3\nat 1 put\ntraffic plain=20 from=4 to=34\n"
+        "at 8 cut leader for=20 from=hubs\nat 12 put\nevery 2 from=14 to=26 kill proxies for=0.3\n";
+    check_red("CONFIG", text, &Safeguards::confirms_at_start);
+}
+
 TEST_CASE("CONFIG: news of a configuration isn't followed") {
     check_red("CONFIG", kTraffic + "at 10 put", &Safeguards::fetches);
 }
--- a/tests/mesh/proxy_io_test.cpp
+++ b/tests/mesh/proxy_io_test.cpp
@@ -377,12 +377,14 @@
 
 TEST_CASE("proxy: more than the capacity wait or bounce, and never more are at the server") {
     constexpr int kCapacity = 2, kRequests = 12;
-    std::promise<void> release;
+    std::promise<void> release, full;
     const auto released = release.get_future().share();
     std::atomic<int> at_work{0}, most{0};
+    std::atomic<bool> was_full{false};
     Mesh mesh({[&](Wire& wire, const HttpRequest& request, int number) {
                   const int now = ++at_work;
                   for (int before = most; before < now && !most.compare_exchange_weak(before, now);) continue;
+                  if (now == kCapacity && !was_full.exchange(true)) full.set_value();
                   released.wait();
                   --at_work;
                   return serve(wire, request, number);
@@ -394,6 +396,8 @@
         callers.back()->wire.write(a_request("/registered/x"));
     }
     CHECK(mesh.app().wait_for(kCapacity));
+    // Read is not yet at work: released between the two, the first could end before the second began.
+    CHECK(full.get_future().wait_for(lab::kPatience) == std::future_status::ready);
     mesh.run([&] { CHECK(mesh.side().inbound.admission().working() == kCapacity); });
     release.set_value();
     int served = 0;
--- /dev/null
+++ b/tests/mesh/send_scheduler_test.cpp
@@ -0,0 +1,84 @@
+// Who may write to the machine's link, and when; and what admission makes of it.
+#include "net/send_scheduler.hpp"
+
+#include <doctest/doctest.h>
+
+#include "admission/admission.hpp"
+#include "admission/answer_sizes.hpp"
+
+using namespace cobaltshift;
+
+namespace {
+SendScheduler::Settings settings() {
+    return {.bytes_per_ms = 100, .long_from = 1000, .piece = 1000, .ahead = 10};
+}
+}  // namespace
+
+TEST_CASE("send scheduler: long answers leave at the link's rate, and short ones find it hardly taken") {
+    SendScheduler scheduler(settings());
+    for (int i = 0; i < 5; ++i) scheduler.add(10000);
+    double now = 0, sent = 0;
+    for (; scheduler.due(); now += 1)
+        while (const auto grant = scheduler.next(now)) {
+            sent += static_cast<double>(grant->bytes);
+            CHECK(sent <= 100 * (now + 10) + 1000);  // never further ahead
+            scheduler.finished(grant->id);
+        }
+    CHECK(sent == 50000);
+    CHECK(now <= 501);
+    CHECK(scheduler.queued_bytes() == 0);
+}
+
+TEST_CASE("send scheduler: the one with the least left is first, so that answers end one by one") {
+    SendScheduler scheduler(settings());
+    const auto long_one = scheduler.add(5000), short_one = scheduler.add(2000);
+    std::vector<SendScheduler::Id> order;
+    for (double now = 0; scheduler.due(); now += 1)
+        while (const auto grant = scheduler.next(now)) {
+            order.push_back(grant->id);
+            scheduler.finished(grant->id);
+        }
+    CHECK(order == std::vector<SendScheduler::Id>{short_one, short_one, long_one, long_one, long_one,
+                                                  long_one, long_one});
+}
+
+TEST_CASE("send scheduler: short answers count against the link, and one that leaves makes room") {
+    SendScheduler scheduler(settings());
+    scheduler.sent(0, 5000);
+    CHECK(scheduler.backlog(0) == 50);
+    const auto id = scheduler.add(3000);
+    CHECK(scheduler.backlog(0) == 80);
+    CHECK_FALSE(scheduler.next(0));
+    CHECK(scheduler.due() == 40.0);
+    scheduler.remove(id);
+    CHECK(scheduler.backlog(0) == 50);
+    CHECK_FALSE(scheduler.due());
+    CHECK(scheduler.finished(id));  // withdrawn while its piece was being written
+}
+
+TEST_CASE("admission: an answer that the link can't carry in time is refused before it runs") {
+    admission::Admission one;
+    one.beat("i-1", 6, false, 1);
+    admission::Offer offer;
+    offer.ticket = 1, offer.id = "a", offer.life = "i-1", offer.once = false;
+    offer.deadline = 5000, offer.due = 1000;
+    offer.link_time = 100, offer.link_wait = 550;
+    CHECK(one.offer(0, offer).act == admission::Act::begin);
+    offer.ticket = 2, offer.id = "b", offer.link_wait = 650;
+    const admission::Answer said = one.offer(0, offer);
+    CHECK(said.act == admission::Act::refuse);
+    CHECK(said.reason == Reason::full);
+    offer.ticket = 3, offer.id = "c", offer.link_time = 0;  // short: it does not wait for long ones
+    CHECK(one.offer(0, offer).act == admission::Act::begin);
+}
+
+TEST_CASE("answer sizes: learnt by kind of request, bounded") {
+    admission::AnswerSizes sizes;
+    CHECK(sizes.expected({2, 1, 600}) == 0);
+    sizes.learn({2, 1, 600}, 90000);
+    CHECK(sizes.expected({2, 1, 600}) == 90000);
+    sizes.learn({2, 1, 600}, 100000);
+    CHECK(sizes.expected({2, 1, 600}) == 91000);
+    for (int rank = 0; rank < 1000; ++rank) sizes.learn({0, rank, 1}, 5);
+    CHECK(sizes.expected({0, 900, 1}) == 0);
+}
