--- a/cmake/mesh.cmake
+++ b/cmake/mesh.cmake
@@ -72,6 +72,7 @@
 if(KELPLB_TESTS)
   # The whole mesh in virtual time, for the scenarios.
   mesh_library(cobaltshift_sim_mesh sim_mesh cobaltshift_control cobaltshift_gossip cobaltshift_admission)
+  target_sources(cobaltshift_sim_mesh PRIVATE ${CMAKE_SOURCE_DIR}/src/sim/check/describe.cpp)
   if(CMAKE_CXX_COMPILER_ID STREQUAL "GNU")
     target_compile_options(cobaltshift_sim_mesh PRIVATE -Wno-restrict)  # GCC's bug 105651, as the lab has it
   endif()
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -19,6 +19,11 @@
 #include "config/startup_confirmation.hpp"
 #include "raft/raft_node.hpp"
 
+namespace cobaltshift::check {
+struct DescribeReplica;  // of the explicit-state check (sim_mesh/control_check): reads all that a replica
+                         // knows
+}
+
 namespace cobaltshift::control {
 
 using raft::Millis;
@@ -100,6 +105,7 @@
     const Counts& counts() const { return counts_; }
 
 private:
+    friend struct check::DescribeReplica;
     struct Waiting {
         std::uint64_t client = 0;
         bool is_change = false;
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -7,6 +7,7 @@
 #include <iostream>
 #include <iterator>
 
+#include "lab/check_control.hpp"
 #include "lab/check_lease.hpp"
 #include "lab/control_world.hpp"
 #include "lab/cost.hpp"
@@ -145,7 +146,9 @@
     scripted->add_option("REQUESTS", requests)->check(CLI::Range(1, 10000000));
     std::string checked;
     CLI::App* checks = app.add_subcommand("check", "every schedule of a core's states with few deviations");
-    checks->add_option("WHAT", checked, "lease")->required()->check(CLI::IsMember({"lease"}));
+    checks->add_option("WHAT", checked, "lease or control")
+        ->required()
+        ->check(CLI::IsMember({"lease", "control"}));
     options(checks);
     Acting acting;
     CLI::App* acted = app.add_subcommand("act", "acts on a target under the right in its environment");
@@ -181,7 +184,8 @@
         }
         if (loaded->parsed()) return load.run([&](const Result& result) { return measured(result, json); });
         if (recorded->parsed()) return digests(folder);
-        if (checks->parsed()) return measured(check_lease(run), json);
+        if (checks->parsed())
+            return measured(checked == "control" ? check_control(run) : check_lease(run), json);
         if (acted->parsed()) return acting.run();
         if (scripted->parsed()) return cost_script(requests);
         if (compared->parsed()) return compare(before, after, std::cout, std::cerr);
--- a/src/sim_mesh/linearizability.cpp
+++ b/src/sim_mesh/linearizability.cpp
@@ -67,7 +67,7 @@
     }
 
 private:
-    // Keeps the pasts in which `operation` took effect with the answer that it got, with any open operations
+    // Keeps the pasts in which `operation` took effect with the answer that it got, with any open changes
     // before it.
     void explain(std::size_t operation) {
         std::set<Past> explained, seen;
@@ -75,6 +75,7 @@
         while (!work.empty()) {
             Past past = std::move(work.back());
             work.pop_back();
+            settle(past);
             if (!seen.insert(past).second) continue;
             if (seen.size() > 4 * most_) break;
             if (past.done.count(operation) > 0) {
@@ -92,6 +93,16 @@
         forget_impossible();
     }
 
+    // What the present state explains takes effect in it at once: it alters nothing, so that it is never
+    // better to wait.
+    void settle(Past& past) {
+        for (const std::size_t next : open_) {
+            if (past.done.count(next) > 0) continue;
+            const auto after = apply(past, next);
+            if (after && after->state == past.state) past.done.insert(next);
+        }
+    }
+
     // Editions only rise: what builds on one that is past everywhere can't take effect any more.
     void forget_impossible() {
         std::uint64_t least = UINT64_MAX;
--- a/tests/mesh/replica_world.hpp
+++ b/tests/mesh/replica_world.hpp
@@ -1,4 +1,5 @@
-// The control plane's cluster in virtual time (sim_mesh/control_cluster.hpp), under the name that tests have for it.
+// The control plane's cluster in virtual time (sim_mesh/control_cluster.hpp), under the name that tests have
+// for it.
 #pragma once
 
 #include <doctest/doctest.h>
