--- a/src/config/config_state_machine.cpp
+++ b/src/config/config_state_machine.cpp
@@ -52,7 +52,7 @@
         else if (current_)
             parsed = patch(*current_, change.body);
         else
-            parsed.complaints.push_back("body: there is nothing yet that could be altered");
+            parsed.complaints.emplace_back("body: there is nothing yet that could be altered");
         // What can't be handed on whole must not be taken: nobody could read it back.
         if (parsed.configuration && encode(*parsed.configuration).size() > kMostConfigurationBytes * 3 / 4) {
             parsed.configuration.reset();
--- a/src/raft/snapshot_transfer.cpp
+++ b/src/raft/snapshot_transfer.cpp
@@ -76,7 +76,7 @@
 
 std::optional<Snapshot> SnapshotReceiver::take_complete() {
     if (!held_ || held_->snapshot.data.size() < held_->total) return {};
-    const Held held = *std::exchange(held_, std::nullopt);
+    const PartialSnapshot held = *std::exchange(held_, std::nullopt);
     if (digest_of(held.snapshot) != held.digest) return {};
     return held.snapshot;
 }
--- a/src/raft/snapshot_transfer.hpp
+++ b/src/raft/snapshot_transfer.hpp
@@ -45,6 +45,11 @@
     Millis progressed_at_ = 0;
 };
 
+struct PartialSnapshot {
+    Snapshot snapshot;  // its data as far as it has come
+    std::uint64_t total = 0, digest = 0;
+};
+
 class SnapshotReceiver {
 public:
     // The byte that is wanted next. A piece of another snapshot than the one held begins anew.
@@ -56,11 +61,7 @@
     std::size_t held_bytes() const { return held_ ? held_->snapshot.data.size() : 0; }
 
 private:
-    struct Held {
-        Snapshot snapshot;  // its data as far as it has come
-        std::uint64_t total = 0, digest = 0;
-    };
-    std::optional<Held> held_;
+    std::optional<PartialSnapshot> held_;
 };
 
 }  // namespace cobaltshift::raft
--- a/tests/packages.sh
+++ b/tests/packages.sh
@@ -31,6 +31,7 @@
 case "${1:-build}" in check)
     want clang-format-14 clang-format-14
     want clang++-14 clang-14
+    want clang-tidy-14 clang-tidy-14
     want valgrind valgrind
     ;;
 esac
