--- a/src/admission/module_settings.cpp
+++ b/src/admission/module_settings.cpp
@@ -38,7 +38,7 @@
     s.cold_from = 0.5;
     s.warm_within = kWarmWithin;
     s.fees.cross_zone = kCrossZoneFee;
-    // Offers that a admission turns away cost nothing, and real tries have the shared budget.
+    // Offers that an admission turns away cost nothing, and real tries have the shared budget.
     s.retry_share = kMostAttempts;
     s.retry_burst = 1000;
     s.hold = kHold;
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -262,7 +262,7 @@
         }
 }
 
-TEST_CASE("hop: one repeated at a admission may have run there") {
+TEST_CASE("hop: one repeated at an admission may have run there") {
     Caller caller("r;0;500;3;0;1");
     REQUIRE(caller.send());
     const HttpResponse answer = own_answer({Execution::not_run, Reason::repeated});
