--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -3,6 +3,7 @@
 #include "lab/experiment.hpp"
 
 #include <gtest/gtest.h>
+#include <toml++/toml.h>
 #include <unistd.h>
 
 #include <filesystem>
@@ -76,17 +77,52 @@
     EXPECT_NE(e.day_of(variants[0], 6).faults, first.faults);
 }
 
+std::string text_of(const std::filesystem::path& path) {
+    std::ifstream in(path);
+    return std::string(std::istreambuf_iterator<char>(in), {});
+}
+
 TEST(Experiments, ThoseInTheRepositoryAreReadable) {
     std::size_t files = 0;
     for (const auto& entry : std::filesystem::directory_iterator(COBALTSHIFT_EXPERIMENTS)) {
-        std::ifstream in(entry.path());
-        const std::string text((std::istreambuf_iterator<char>(in)), {});
-        EXPECT_NO_THROW(read_experiment(text, entry.path().filename())) << entry.path();
+        if (entry.path().filename() == "days") continue;  // the bench's days, read below
+        EXPECT_NO_THROW(read_experiment(text_of(entry.path()), entry.path().filename())) << entry.path();
         ++files;
     }
     EXPECT_GE(files, 2U);
 }
 
+// Days of our own for the users' bench: one `[[day]]` each, whose troubles all say what and when.
+TEST(Experiments, DaysForTheBenchInTheRepositoryAreReadable) {
+    std::size_t files = 0;
+    const std::filesystem::path folder = std::filesystem::path(COBALTSHIFT_EXPERIMENTS) / "days";
+    for (const auto& entry : std::filesystem::directory_iterator(folder)) {
+        SCOPED_TRACE(entry.path());
+        ++files;
+        toml::table file;
+        ASSERT_NO_THROW(file = toml::parse(text_of(entry.path())));
+        const toml::array* days = file["day"].as_array();
+        ASSERT_TRUE(days != nullptr && days->size() == 1);
+        const toml::table& day = *days->get(0)->as_table();
+        const double length_s = day["length_s"].value_or(0.0);
+        EXPECT_TRUE(day["name"].is_string() && length_s > 0);
+        std::size_t troubles = 0;
+        for (const char* list : {"plan", "faults"}) {
+            const toml::array* entries = day[list].as_array();
+            if (entries == nullptr) continue;
+            for (const toml::node& node : *entries) {
+                const toml::table& trouble = *node.as_table();
+                EXPECT_TRUE(trouble["kind"].is_string());
+                EXPECT_TRUE(trouble["at"].is_number() && trouble["at"].value_or(1e9) < length_s);
+                ++troubles;
+            }
+        }
+        EXPECT_GE(troubles, 1U);
+        EXPECT_TRUE(day["traffic"].is_array_of_tables());
+    }
+    EXPECT_GE(files, 10U);
+}
+
 class Runs : public testing::Test {
 protected:
     void SetUp() override {
