--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -35,45 +35,6 @@
 }
 }  // namespace
 
-struct Upstream::Job {
-    AttemptKey key;
-    bool probe = false;
-    RequestPtr request;
-    Millis sent_at = 0;
-    Millis until = 0;
-};
-
-// The connections to one server for as long as it is listed with this address and start.
-struct Upstream::Pool {
-    std::vector<LinkPtr> idle;  // the newest last
-    std::size_t links = 0;      // all of them, idle or not
-    bool withdrawn = false;     // what is still out on them ends, and they with it
-};
-
-struct Upstream::Link {
-    enum class State { connecting, writing, reading, idle, closed };
-
-    Link(asio::io_context& io, ServerId id, const tcp::endpoint& endpoint, std::shared_ptr<Pool> p)
-        : server(id), to(endpoint), pool(std::move(p)), socket(io), timer(io) {}
-
-    ServerId server;
-    tcp::endpoint to;
-    std::shared_ptr<Pool> pool;
-    tcp::socket socket;
-    asio::steady_timer timer;  // connecting, probing and idling; an attempt's own end comes from outside
-    State state = State::connecting;
-    std::unique_ptr<Job> job;
-    std::string out;
-    std::size_t out_done = 0;
-    beast::flat_buffer in;
-    std::size_t head_bytes = 0;
-    int interim = 0;        // 1xx answers so far
-    bool spoilt = false;    // an answer of another request has come on it
-    Millis idle_close = 0;  // what the server's Keep-Alive said last; 0: nothing
-    std::optional<http::response_parser<http::string_body>> parser;
-    Millis idle_since = 0;
-};
-
 UpstreamManner UpstreamManner::platform() {
     UpstreamManner manner;
     manner.stamp = [](HttpRequest& message, Millis left) {
@@ -91,122 +52,66 @@
 
 Upstream::Upstream(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers,
                    UpstreamManner manner)
-    : io_(io), clock_(clock), limits_(limits), handlers_(std::move(handlers)), manner_(std::move(manner)) {}
+    : io_(io),
+      clock_(clock),
+      dead_after_(limits.dead_after),
+      handlers_(std::move(handlers)),
+      manner_(std::move(manner)),
+      pool_(*this, limits) {}
 
-Upstream::~Upstream() {
-    for (const auto& [id, pool] : pools_) pool->idle.clear();  // a connection holds its pool
-}
+Upstream::~Upstream() = default;
+
+// ---- What is asked of it ----------------------------------------------------------------------------------
 
 void Upstream::send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request,
                     Millis until) {
-    auto job = std::make_unique<Job>();
-    job->key = key;
-    job->request = std::move(request);
-    job->sent_at = clock_.now();
-    job->until = until;
-    start(std::move(job), server, to);
+    pool_.send(key, server, to, std::move(request), until);
 }
 
 void Upstream::probe(ServerId server, const tcp::endpoint& to) {
     auto request = std::make_shared<HttpRequest>(http::verb::get, manner_.probe_path, 11);
     request->set(http::field::host, to.address().to_string());
-    auto job = std::make_unique<Job>();
-    job->probe = true;
-    job->request = std::move(request);
-    job->sent_at = clock_.now();
-    job->until = job->sent_at + limits_.connect_timeout;  // slower than this, it is not fit to be asked
-    start(std::move(job), server, to);
-}
-
-void Upstream::start(std::unique_ptr<Job> job, ServerId server, const tcp::endpoint& to) {
-    LinkPtr link = take_idle(server, to);
-    const bool fresh = !link;
-    if (fresh) {
-        if (open_ >= limits_.connections) make_room();
-        auto& pool = pools_[server];
-        if (!pool) pool = std::make_shared<Pool>();
-        link = std::make_shared<Link>(io_, server, to, pool);
-        ++pool->links;
-        ++open_;
-        ++counts_.opened;
-    }
-    if (!job->probe) attempts_[job->key] = link;
-    if (job->probe) {
-        link->timer.expires_at(clock_.point(job->until));
-        link->timer.async_wait([this, link](error_code ec) {
-            if (ec || !link->job || !link->job->probe || link->state == Link::State::closed) return;
-            end(link, link->state == Link::State::connecting ? Outcome::refused_connection : Outcome::overdue,
-                nullptr, false);
-        });
-    }
-    link->job = std::move(job);
-    if (!fresh) return write(link);
-    // No descriptor to spare: it never goes out. That is no fault of the server's.
-    if (open_ > limits_.connections) return end(link, Outcome::superseded, nullptr, false);
-    connect(link);
+    pool_.probe(server, to, std::move(request));
 }
 
-// Of those that nobody uses the one idle longest.
-void Upstream::make_room() {
-    LinkPtr oldest;
-    for (const auto& [id, pool] : pools_)
-        if (!pool->idle.empty() && (!oldest || pool->idle.front()->idle_since < oldest->idle_since))
-            oldest = pool->idle.front();
-    if (oldest) drop(oldest);
-}
+void Upstream::expire(AttemptKey key) { pool_.expire(key); }
+void Upstream::cancel(AttemptKey key) { pool_.cancel(key); }
+void Upstream::withdraw_request(RequestId id) { pool_.withdraw_request(id); }
+void Upstream::withdraw_server(ServerId server) { pool_.withdraw_server(server); }
+void Upstream::close_idle(ServerId server) { pool_.close_idle(server); }
+void Upstream::retire(ServerId server) { pool_.retire(server); }
 
-// The newest first: the older ones then reach their idle limit and go. What has ended in the meantime, or has
-// something to say unasked, is not fit to be written to, and nothing may be sent twice to find that out. One
-// that has only just answered may have more to say, which would be taken for the next request's answer.
-Upstream::LinkPtr Upstream::take_idle(ServerId server, const tcp::endpoint& to) {
-    const auto at = pools_.find(server);
-    if (at == pools_.end()) return nullptr;
-    const auto pool = at->second;  // it may go with its last connection
-    const Millis settled = clock_.now() - limits_.settle;
-    for (std::size_t i = pool->idle.size(); i-- > 0;) {
-        LinkPtr link = pool->idle[i];
-        if (link->to != to || peek(link->socket) != Quiet::nothing) {
-            drop(link);
-            continue;
-        }
-        if (link->idle_since > settled) continue;
-        pool->idle.erase(pool->idle.begin() + static_cast<std::ptrdiff_t>(i));
-        link->timer.cancel();
-        return link;
-    }
-    return nullptr;
-}
+// ---- What the pool asks of sockets ------------------------------------------------------------------------
 
-void Upstream::connect(const LinkPtr& link) {
-    error_code ec;
-    link->socket.open(link->to.protocol(), ec);
-    if (!ec) link->socket.set_option(tcp::no_delay(true), ec);
-    if (!ec) link->socket.non_blocking(true, ec);
-    if (!ec) link->socket.set_option(asio::socket_base::receive_buffer_size(kKernelBuffer), ec);
-    if (!ec && limits_.dead_after > 0) watch_for_death(link->socket, limits_.dead_after);
-    if (ec) return end(link, Outcome::refused_connection, nullptr, false);
-    if (!link->job->probe) {
-        link->timer.expires_at(clock_.point(clock_.now() + limits_.connect_timeout));
-        link->timer.async_wait([this, link](error_code error) {
-            if (!error && link->state == Link::State::connecting)
-                end(link, Outcome::refused_connection, nullptr, false);
-        });
-    }
-    link->socket.async_connect(link->to, [this, link](error_code error) {
-        if (link->state != Link::State::connecting) return;
-        if (error) return end(link, Outcome::refused_connection, nullptr, false);
-        if (!link->job->probe) link->timer.cancel();
-        write(link);
+void Upstream::set_timer(const ConnectionPtr& connection, Millis at) {
+    connection->channel.timer.expires_at(clock_.point(at));
+    connection->channel.timer.async_wait([this, connection](error_code ec) {
+        if (!ec) pool_.timer_fired(connection);
     });
 }
 
-void Upstream::write(const LinkPtr& link) {
-    Job& job = *link->job;
-    link->state = Link::State::writing;
+void Upstream::cancel_timer(Connection& connection) { connection.channel.timer.cancel(); }
+
+void Upstream::connect(const ConnectionPtr& connection) {
+    tcp::socket& socket = connection->channel.socket;
+    error_code ec;
+    socket.open(connection->to.protocol(), ec);
+    if (!ec) socket.set_option(tcp::no_delay(true), ec);
+    if (!ec) socket.non_blocking(true, ec);
+    if (!ec) socket.set_option(asio::socket_base::receive_buffer_size(kKernelBuffer), ec);
+    if (!ec && dead_after_ > 0) watch_for_death(socket, dead_after_);
+    if (ec) return pool_.connected(connection, false);
+    socket.async_connect(connection->to,
+                         [this, connection](error_code error) { pool_.connected(connection, !error); });
+}
+
+void Upstream::write(const ConnectionPtr& connection) {
+    Pool::Job& job = *connection->job;
+    Channel& channel = connection->channel;
     HttpRequest& message = *job.request;
     if (!job.probe) manner_.stamp(message, std::max(0.0, job.until - clock_.now()));
-    link->out.clear();
-    link->out_done = 0;
+    channel.out.clear();
+    channel.out_done = 0;
     http::request_serializer<http::string_body> text(message);
     error_code wrong;
     while (!wrong && !text.is_done())
@@ -214,169 +119,99 @@
             for (auto at = asio::buffer_sequence_begin(buffers); at != asio::buffer_sequence_end(buffers);
                  ++at) {
                 const asio::const_buffer part = *at;
-                link->out.append(static_cast<const char*>(part.data()), part.size());
+                channel.out.append(static_cast<const char*>(part.data()), part.size());
             }
             text.consume(asio::buffer_size(buffers));
         });
     // Directly: nearly every request fits, and how much of it has gone out is known at once.
     error_code ec;
-    const std::size_t bytes = link->socket.write_some(asio::buffer(link->out), ec);
+    const std::size_t bytes = channel.socket.write_some(asio::buffer(channel.out), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again) ec = {};
-    written(link, ec, bytes);
+    wrote(connection, ec, bytes);
 }
 
-void Upstream::written(const LinkPtr& link, error_code ec, std::size_t bytes) {
-    link->out_done += bytes;
-    // A server begins a request with its last byte: short of that, it never ran.
-    if (ec) return end(link, Outcome::refused_connection, nullptr, false);
-    if (link->out_done == link->out.size()) return read(link);
-    const auto rest = asio::buffer(link->out) + link->out_done;
-    link->socket.async_write_some(rest, [this, link](error_code error, std::size_t n) {
-        if (link->state == Link::State::writing) written(link, error, n);
+void Upstream::wrote(const ConnectionPtr& connection, error_code ec, std::size_t bytes) {
+    Channel& channel = connection->channel;
+    channel.out_done += bytes;
+    if (ec) return pool_.write_failed(connection);
+    if (channel.out_done == channel.out.size()) return pool_.written(connection);
+    const auto rest = asio::buffer(channel.out) + channel.out_done;
+    channel.socket.async_write_some(rest, [this, connection](error_code error, std::size_t n) {
+        if (connection->state == exchange::ConnectionState::writing) wrote(connection, error, n);
     });
 }
 
-void Upstream::read(const LinkPtr& link) {
-    link->state = Link::State::reading;
-    link->parser.emplace();
-    link->parser->header_limit(kMaxHeader);
-    link->parser->body_limit(manner_.body_bytes);
-    link->parser->eager(false);
-    link->head_bytes = 0;
-    parse(link);
+void Upstream::read(const ConnectionPtr& connection) {
+    Channel& channel = connection->channel;
+    channel.parser.emplace();
+    channel.parser->header_limit(kMaxHeader);
+    channel.parser->body_limit(manner_.body_bytes);
+    channel.parser->eager(false);
+    channel.head_bytes = 0;
+    parse(connection);
 }
 
-void Upstream::parse(const LinkPtr& link) {
-    while (!link->parser->is_done()) {
-        const error_code ec = feed(*link->parser, link->in, link->head_bytes);
-        if (ec == http::error::need_more) return receive(link);
+void Upstream::parse(const ConnectionPtr& connection) {
+    Channel& channel = connection->channel;
+    while (!channel.parser->is_done()) {
+        const error_code ec = feed(*channel.parser, channel.in, channel.head_bytes);
+        if (ec == http::error::need_more) return receive(connection);
         // An answer that only the connection's end would end may have been cut short.
-        if (ec || link->parser->need_eof()) return end(link, Outcome::severed, nullptr, false);
+        if (ec || channel.parser->need_eof()) return pool_.broken(connection);
     }
-    const unsigned status = link->parser->get().result_int();
-    if (status / 100 != 1) return answered(link);
-    // 1xx: more follows, but not without end.
-    if (status == 101 || ++link->interim > kMostInterim) return end(link, Outcome::severed, nullptr, false);
-    read(link);
-}
-
-void Upstream::receive(const LinkPtr& link) {
-    link->socket.async_read_some(link->in.prepare(kReadSize), [this, link](error_code ec, std::size_t bytes) {
-        if (link->state != Link::State::reading) return;
-        if (ec) return end(link, Outcome::severed, nullptr, false);
-        try {
-            link->in.commit(bytes);
-            parse(link);
-        } catch (const std::exception& error) {
-            // Of one answer: what goes wrong with it must not touch the others.
-            log_line("upstream.failed", std::string("an answer failed: ") + error.what());
-            if (link->job) end(link, Outcome::severed, nullptr, false);
-        }
-    });
-}
-
-void Upstream::answered(const LinkPtr& link) {
-    // Bytes behind the answer belong to nobody: such a connection is not used again.
-    if (manner_.stray && !link->job->probe && manner_.stray(*link->job->request, link->parser->get())) {
-        if (std::exchange(link->spoilt, true) || !link->parser->keep_alive())
-            return end(link, Outcome::severed, nullptr, false);
-        return read(link);
+    const unsigned status = channel.parser->get().result_int();
+    if (status / 100 == 1) {
+        // More follows, but not without end.
+        if (status == 101 || ++channel.interim > kMostInterim) return pool_.broken(connection);
+        return read(connection);
     }
-    const bool keep =
-        link->parser->keep_alive() && link->in.size() == 0 && !link->pool->withdrawn && !link->spoilt;
-    HttpResponse response = link->parser->release();
-    link->parser.reset();
-    if (manner_.heeds_keep_alive) link->idle_close = keep_alive_for(response);
-    end(link, manner_.judge(response), &response, keep);
-}
-
-void Upstream::park(const LinkPtr& link) {
-    link->state = Link::State::idle;
-    link->idle_since = clock_.now();
-    if (link->out.capacity() > kReadSize) link->out = std::string();
-    link->interim = 0;
-    if (link->in.capacity() > kReadSize) link->in.shrink_to_fit();
-    link->pool->idle.push_back(link);
-    // Well before the server does: what is written to a connection that it has closed is lost.
-    const Millis closes =
-        link->idle_close > 0 ? std::min(limits_.idle_close, link->idle_close) : limits_.idle_close;
-    link->timer.expires_at(clock_.point(link->idle_since + closes - std::min(1000.0, closes / 4)));
-    link->timer.async_wait([this, link](error_code ec) {
-        if (!ec && link->state == Link::State::idle) drop(link);
-    });
-    link->socket.async_wait(tcp::socket::wait_read, [this, link](error_code) {
-        // Whether ended or talking unasked, an idle connection that wakes is of no more use.
-        if (link->state == Link::State::idle && peek(link->socket) != Quiet::nothing) drop(link);
-    });
-}
-
-void Upstream::drop(const LinkPtr& link) {
-    if (link->state == Link::State::closed) return;
-    if (link->state == Link::State::idle) std::erase(link->pool->idle, link);
-    link->state = Link::State::closed;
-    link->timer.cancel();
-    error_code ignored;
-    link->socket.close(ignored);
-    --open_;
-    const auto at = pools_.find(link->server);
-    if (--link->pool->links == 0 && at != pools_.end() && at->second == link->pool) pools_.erase(at);
-}
-
-void Upstream::end(const LinkPtr& link, Outcome outcome, HttpResponse* response, bool keep) {
-    std::unique_ptr<Job> job = std::move(link->job);
-    link->timer.cancel();
-    // The connection goes before anything is told, so that no next attempt can be out beside it.
-    if (keep)
-        park(link);
-    else
-        drop(link);
-    report(std::move(job), link->server, outcome, response);
+    const exchange::AnswerEnd how{channel.parser->keep_alive(), channel.in.size() > 0};
+    HttpResponse response = channel.parser->release();
+    channel.parser.reset();
+    pool_.answered(connection, std::move(response), how);
+}
+
+void Upstream::receive(const ConnectionPtr& connection) {
+    Channel& channel = connection->channel;
+    channel.socket.async_read_some(
+        channel.in.prepare(kReadSize), [this, connection](error_code ec, std::size_t bytes) {
+            if (connection->state != exchange::ConnectionState::reading) return;
+            if (ec) return pool_.broken(connection);
+            try {
+                connection->channel.in.commit(bytes);
+                parse(connection);
+            } catch (const std::exception& error) {
+                // Of one answer: what goes wrong with it must not touch the others.
+                log_line("upstream.failed", std::string("an answer failed: ") + error.what());
+                if (connection->job) pool_.broken(connection);
+            }
+        });
 }
 
-void Upstream::report(std::unique_ptr<Job> job, ServerId server, Outcome outcome, HttpResponse* response) {
-    if (job->probe) return handlers_.probe_ended(server, outcome, clock_.now() - job->sent_at);
-    attempts_.erase(job->key);
-    handlers_.attempt_ended(job->key, outcome, response);
-}
+bool Upstream::quiet(Connection& connection) { return peek(connection.channel.socket) == Quiet::nothing; }
 
-void Upstream::stop(AttemptKey key, Outcome unwritten, Outcome other) {
-    const auto at = attempts_.find(key);
-    if (at == attempts_.end()) return;
-    const LinkPtr link = at->second;
-    end(link, link->state == Link::State::connecting ? unwritten : other, nullptr, false);
+void Upstream::rest(const ConnectionPtr& connection) {
+    Channel& channel = connection->channel;
+    if (channel.out.capacity() > kReadSize) channel.out = std::string();
+    channel.interim = 0;
+    if (channel.in.capacity() > kReadSize) channel.in.shrink_to_fit();
+    channel.socket.async_wait(tcp::socket::wait_read,
+                              [this, connection](error_code) { pool_.woke(connection); });
 }
 
-void Upstream::expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::overdue); }
-void Upstream::cancel(AttemptKey key) { stop(key, Outcome::superseded, Outcome::recalled); }
-
-void Upstream::withdraw_request(RequestId id) {
-    std::vector<LinkPtr> links;
-    for (auto at = attempts_.lower_bound({id, 0}); at != attempts_.end() && at->first.id == id; ++at)
-        if (at->second->state == Link::State::connecting) links.push_back(at->second);
-    for (const LinkPtr& link : links) end(link, Outcome::superseded, nullptr, false);
+void Upstream::close(Connection& connection) {
+    error_code ignored;
+    connection.channel.socket.close(ignored);
 }
 
-void Upstream::withdraw_server(ServerId server) {
-    std::vector<LinkPtr> links;
-    for (const auto& [key, link] : attempts_)
-        if (link->server == server && link->state == Link::State::connecting) links.push_back(link);
-    for (const LinkPtr& link : links) end(link, Outcome::superseded, nullptr, false);
-    retire(server);
-}
+// ---- The protocol's words ---------------------------------------------------------------------------------
 
-void Upstream::retire(ServerId server) {
-    close_idle(server);
-    const auto at = pools_.find(server);
-    if (at == pools_.end()) return;
-    at->second->withdrawn = true;
-    pools_.erase(at);
+bool Upstream::is_stray(const Connection& connection, const HttpResponse& response) const {
+    return manner_.stray && manner_.stray(*connection.job->request, response);
 }
 
-void Upstream::close_idle(ServerId server) {
-    const auto at = pools_.find(server);
-    if (at == pools_.end()) return;
-    const std::vector<LinkPtr> links = at->second->idle;
-    for (const LinkPtr& link : links) drop(link);
+Millis Upstream::kept_for(const HttpResponse& response) const {
+    return manner_.heeds_keep_alive ? keep_alive_for(response) : 0;
 }
 
 }  // namespace cobaltshift
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -1,5 +1,6 @@
-// Connections to servers: the pool, attempts and probes. It carries out what it is told, once, and says truly
-// how it ended; above all whether the server may have run it. It never sends anything again.
+// Connections to servers over sockets: the I/O half of exchange::ConnectionPool, which decides which
+// connection is used again, which answer belongs to which request, and how each attempt ended. Entry type:
+// Upstream. Called by Sidecar and by the proxy's Inbound.
 #pragma once
 
 #include <functional>
@@ -9,18 +10,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "module.hpp"
+#include "exchange/connection_pool.hpp"
 #include "net/clock.hpp"
 #include "net/http.hpp"
 
 namespace cobaltshift {
 
-struct AttemptKey {
-    RequestId id = 0;
-    std::uint32_t attempt = 0;
-    auto operator<=>(const AttemptKey&) const = default;
-};
-
 // What a protocol on these connections says beyond HTTP/1.1. All are called from within the loop and note
 // nothing.
 struct UpstreamManner {
@@ -40,13 +35,9 @@
 // Must outlive the running of the loop.
 class Upstream {
 public:
-    struct Limits {
-        Millis connect_timeout = 1000;
-        Millis idle_close = 15000;  // servers close what has been idle this long
-        std::size_t connections = 400;
-        Millis settle = 2;  // an answer's connection is not used again sooner
-        Millis dead_after =
-            0;  // a connection whose other end has said nothing so long, asked, breaks; 0: never
+    struct Limits : exchange::Limits {
+        // A connection whose other end has said nothing so long, asked, breaks; 0: never.
+        Millis dead_after = 0;
     };
     // May be called from within send(), cancel() and the like: they only note what happened.
     struct Handlers {
@@ -59,60 +50,79 @@
     ~Upstream();
 
     void send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request, Millis until);
-    // Its time is up: overdue, or no connection if not a byte has gone out.
+    void probe(ServerId server, const tcp::endpoint& to);
+    // As ConnectionPool has them.
     void expire(AttemptKey key);
-    // Not wanted any more: recalled, or superseded if not a byte has gone out (then it never ran).
     void cancel(AttemptKey key);
-    // Those of a request or to a server that have not begun to be written never will be.
     void withdraw_request(RequestId id);
-    // No connection to the server is used again either, now or when what is out on it has ended.
     void withdraw_server(ServerId server);
-    void probe(ServerId server, const tcp::endpoint& to);
     void close_idle(ServerId server);
-    // As withdrawn, but for what is still connecting.
     void retire(ServerId server);
 
-    void limit_connections(std::size_t most) { limits_.connections = most; }
+    void limit_connections(std::size_t most) { pool_.limit_connections(most); }
 
     struct Counts {
         std::uint64_t opened = 0;  // connections begun since the start
     };
-    const Counts& counts() const { return counts_; }
-    std::size_t open() const { return open_; }
-    std::size_t out() const { return attempts_.size(); }
-    std::size_t pools() const { return pools_.size(); }
+    Counts counts() const { return {pool_.opened()}; }
+    std::size_t open() const { return pool_.open(); }
+    std::size_t out() const { return pool_.out(); }
+    std::size_t pools() const { return pool_.groups(); }
 
 private:
-    struct Link;
-    using LinkPtr = std::shared_ptr<Link>;
-    struct Pool;
-    struct Job;
-
-    void start(std::unique_ptr<Job> job, ServerId server, const tcp::endpoint& to);
-    void make_room();
-    LinkPtr take_idle(ServerId server, const tcp::endpoint& to);
-    void connect(const LinkPtr& link);
-    void write(const LinkPtr& link);
-    void written(const LinkPtr& link, error_code ec, std::size_t bytes);
-    void read(const LinkPtr& link);
-    void parse(const LinkPtr& link);
-    void receive(const LinkPtr& link);
-    void answered(const LinkPtr& link);
-    void park(const LinkPtr& link);
-    void drop(const LinkPtr& link);
-    void end(const LinkPtr& link, Outcome outcome, HttpResponse* response, bool keep);
-    void report(std::unique_ptr<Job> job, ServerId server, Outcome outcome, HttpResponse* response);
-    void stop(AttemptKey key, Outcome unwritten, Outcome other);
+    // What the pool asks of sockets; see exchange/connection_pool.hpp.
+    friend class exchange::ConnectionPool<Upstream>;
+    using Endpoint = tcp::endpoint;
+    using RequestPtr = cobaltshift::RequestPtr;
+    using Response = HttpResponse;
+    struct Channel;
+    using Pool = exchange::ConnectionPool<Upstream>;
+    using Connection = Pool::Connection;
+    using ConnectionPtr = Pool::ConnectionPtr;
+
+    Millis now() const { return clock_.now(); }
+    void connect(const ConnectionPtr& connection);
+    void write(const ConnectionPtr& connection);
+    void read(const ConnectionPtr& connection);
+    bool quiet(Connection& connection);
+    void rest(const ConnectionPtr& connection);
+    void set_timer(const ConnectionPtr& connection, Millis at);
+    void cancel_timer(Connection& connection);
+    void close(Connection& connection);
+    bool is_stray(const Connection& connection, const HttpResponse& response) const;
+    Outcome judge(const HttpResponse& response) const { return manner_.judge(response); }
+    Millis kept_for(const HttpResponse& response) const;
+    void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
+        handlers_.attempt_ended(key, outcome, response);
+    }
+    void probe_ended(ServerId server, Outcome outcome, Millis duration) {
+        handlers_.probe_ended(server, outcome, duration);
+    }
+
+    void wrote(const ConnectionPtr& connection, error_code ec, std::size_t bytes);
+    void parse(const ConnectionPtr& connection);
+    void receive(const ConnectionPtr& connection);
 
     asio::io_context& io_;
     const Clock& clock_;
-    Limits limits_;
+    const Millis dead_after_;
     Handlers handlers_;
     UpstreamManner manner_;
-    std::map<AttemptKey, LinkPtr> attempts_;
-    std::unordered_map<ServerId, std::shared_ptr<Pool>> pools_;  // only those with connections
-    std::size_t open_ = 0;
-    Counts counts_;
+    Pool pool_;
+};
+
+// One connection's socket, timer and buffers.
+struct Upstream::Channel {
+    explicit Channel(Upstream& owner) : socket(owner.io_), timer(owner.io_) {}
+
+    tcp::socket socket;
+    asio::steady_timer timer;  // connecting, probing and idling; an attempt's own end comes from outside
+    std::string out;
+    std::size_t out_done = 0;
+    beast::flat_buffer in;
+    std::size_t head_bytes = 0;
+    int interim = 0;  // 1xx answers so far
+    std::optional<http::response_parser<http::string_body>> parser;
 };
 
 }  // namespace cobaltshift
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -38,7 +38,7 @@
       boot_(boot),
       around_(std::move(around)),
       link_(link),
-      upstream_(io, clock, Upstream::Limits{kConnectWithin, kIdleClose, kConnections, kSettle, 0},
+      upstream_(io, clock, Upstream::Limits{{kConnectWithin, kIdleClose, kConnections, kSettle}, 0},
                 {[this](AttemptKey key, Outcome outcome, HttpResponse* response) {
                      ended(key.id, outcome, response);
                  },
