--- a/src/net/dialect.hpp
+++ b/src/net/dialect.hpp
@@ -7,6 +7,7 @@
 #include <optional>
 #include <string>
 
+#include "caller/caller.hpp"
 #include "net/config.hpp"
 #include "net/upstream.hpp"
 
@@ -22,11 +23,7 @@
         last;  // the newest answer that was not passed on, where the dialect wants it kept
 };
 
-struct Reading {
-    Outcome outcome;
-    bool final = false;   // the answer goes to the client as it is, once tidied
-    bool offered = true;  // a server had it before it
-};
+using caller::Reading;
 
 class Dialect {
 public:
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -1,16 +1,14 @@
-// Translates between the sockets and the Balancer: what happens becomes events, in order and never
-// re-entrantly; its actions are carried out in order. Nothing is chosen, retried or refused here.
+// The sidecar over sockets: the I/O half of caller::Caller, which keeps requests, attempts and servers round
+// the decision module. Entry type: Sidecar. Called by its fronts (SidecarFront, the proxy's Outbound), by
+// discovery and by other sidecars.
 #pragma once
 
-#include <deque>
-#include <map>
 #include <memory>
 #include <optional>
-#include <queue>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
+#include "caller/caller.hpp"
 #include "metrics/text.hpp"
 #include "module.hpp"
 #include "net/clock.hpp"
@@ -37,10 +35,10 @@
         virtual void ended(ServerId server, Outcome outcome, Millis duration, bool late) = 0;
     };
     void observe(Observer* observer) { observer_ = observer; }  // null: none; it must outlive its observing
-    void guide(Guidance guidance) { push(std::move(guidance)); }
+    void guide(Guidance guidance) { caller_.push(std::move(guidance)); }
     std::vector<ServerInfo> listed() const;                   // id, phase and online_since of each
     std::optional<tcp::endpoint> dial_of(ServerId id) const;  // where it is listed
-    std::vector<ServerId> removed() const { return balancer_.removed(); }
+    std::vector<ServerId> removed() const { return caller_.balancer().removed(); }
     void limit_connections(std::size_t most) { upstream_.limit_connections(most); }
 
     Sidecar(asio::io_context& io, const Clock& clock, Config& config, Upstream::Limits limits);
@@ -61,7 +59,7 @@
     void peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
     bool holds_list() const { return holds_list_; }
-    std::size_t unanswered() const { return unanswered_; }
+    std::size_t unanswered() const { return caller_.unanswered(); }
     const Config& config() const { return config_; }
     // What is held at present, here, on the sockets and in the module. At rest no request is, and of servers
     // only those listed.
@@ -75,83 +73,64 @@
 private:
     Sidecar(asio::io_context& io, const Clock& clock, Config& config, Upstream::Limits limits,
             std::unique_ptr<Dialect> own, Dialect* other);
-    struct Request {
-        RequestPtr message;
-        std::weak_ptr<Client> client;
-        std::uint32_t class_index = 0;
-        std::uint32_t attempts = 0, out = 0;
-        bool ended = false;
-        Story story;
-        std::vector<std::pair<Millis, ServerId>> sent;  // by attempt
-    };
-    struct Server {
-        std::string name;
-        tcp::endpoint dial;
-        Phase phase = Phase::on;
-        Millis born = 0;
-        bool listed = false;
-        std::uint32_t out = 0;  // attempts and probes
-    };
-    // A time-out of an attempt comes before a timer for the same moment: a request that is over at its
-    // deadline has then seen how its attempt ended.
-    struct Due {
-        Millis at = 0;
-        int rank = 0;
-        std::uint64_t order = 0;
-        std::optional<AttemptKey> attempt;
-        TimerToken token = 0;
-        bool operator>(const Due& other) const {
-            return std::tie(at, rank, order) > std::tie(other.at, other.rank, other.order);
-        }
-    };
 
-    void push(Event event);
-    void pump();
-    void arm();
-    void fire();
-    void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response);
-    void probe_ended(ServerId id, Outcome outcome, Millis duration);
-    ServerId server(const std::string& name);
-    void drop_server(ServerId id);
-    void drop_request(RequestId id);
-    void answer(RequestId id, Request& request, HttpResponse response);
-
-    void carry_out(const Send& a);
-    void carry_out(const Cancel& a);
-    void carry_out(const Refuse& a);
-    void carry_out(const GiveUp& a);
-    void carry_out(const SetTimer& a);
-    void carry_out(const Probe& a);
-    void carry_out(const CloseIdle& a);
-    void carry_out(const TellPeer& a);
-    void carry_out(const Subscribe& a);
-    void carry_out(const FetchList& a);
-    void carry_out(const Log& a);
+    // What the caller's core asks of sockets; see caller/caller.hpp.
+    friend class caller::Caller<Sidecar>;
+    using RequestPtr = cobaltshift::RequestPtr;
+    using Response = HttpResponse;
+    using ClientPtr = std::weak_ptr<Client>;
+    using Endpoint = tcp::endpoint;
+    using Story = cobaltshift::Story;
+
+    Millis now() const { return clock_.now(); }
+    void post_pump();
+    void wake_at(Millis at);
+    void send(AttemptKey key, ServerId server, const Endpoint& to, const RequestPtr& message, Millis until) {
+        upstream_.send(key, server, to, message, until);
+    }
+    void expire(AttemptKey key) { upstream_.expire(key); }
+    void cancel(AttemptKey key) { upstream_.cancel(key); }
+    void withdraw_request(RequestId id) { upstream_.withdraw_request(id); }
+    void withdraw_server(ServerId id) { upstream_.withdraw_server(id); }
+    void retire(ServerId id) { upstream_.retire(id); }
+    void close_idle(ServerId id) { upstream_.close_idle(id); }
+    void probe(ServerId id, const Endpoint& to) { upstream_.probe(id, to); }
+    RequestArrived classify(const RequestPtr& message, Story& story) {
+        return dialect_.classify(*message, story);
+    }
+    bool may_send(const RequestPtr& message, Story& story, const std::string& server) {
+        return dialect_.may_send(*message, story, server);
+    }
+    Reading read(Outcome outcome, const Response* response, Story& story) {
+        return dialect_.read(outcome, response, story);
+    }
+    void answer(const ClientPtr& client, Response&& response, bool own);
+    Response refusal(Story& story, Millis retry_in) { return dialect_.refusal(story, retry_in); }
+    Response failure(Story& story) { return dialect_.failure(story); }
+    ZoneId zone_number(const std::string& zone) { return config_.zone(zone); }
+    void carry_out(const TellPeer& action);
+    void carry_out(const Subscribe& action);
+    void carry_out(const FetchList& action);
+    void log(const std::string& text, const std::string& server) const;
+    void arrived(std::uint32_t class_index) {
+        if (observer_) observer_->arrived(class_index);
+    }
+    void sent(ServerId server) {
+        if (observer_) observer_->sent(server);
+    }
+    void ended(ServerId server, Outcome outcome, Millis duration, std::uint32_t class_index);
 
     asio::io_context& io_;
     const Clock& clock_;
     Config& config_;
     std::unique_ptr<Dialect> own_dialect_;  // the platform's, where no other was given
     Dialect& dialect_;
-    Balancer balancer_;
+    caller::Caller<Sidecar> caller_;
     Upstream upstream_;
     Discovery* discovery_ = nullptr;
     Peers* peers_ = nullptr;
     Observer* observer_ = nullptr;
-
-    std::deque<Event> events_;
-    bool pump_posted_ = false;
-    std::vector<Action> actions_;
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-    std::uint64_t due_order_ = 0;
     asio::steady_timer timer_;
-    Millis armed_for_ = 0;
-
-    std::unordered_map<RequestId, Request> requests_;
-    RequestId next_request_ = 1;
-    std::size_t unanswered_ = 0;
-    std::unordered_map<std::string, ServerId> server_ids_;
-    std::map<ServerId, Server> servers_;
     bool holds_list_ = false;
 };
 
