--- /dev/null
+++ b/src/admission/inbound_requests.cpp
@@ -0,0 +1,138 @@
+#include "admission/inbound_requests.hpp"
+
+#include <utility>
+
+namespace cobaltshift::admission {
+
+namespace {
+// The server stops by itself at the deadline that it is handed; a little later it is taken for silent.
+constexpr Millis kLate = 40;
+}  // namespace
+
+bool InboundRequests::beat(Millis now, const std::string& life, std::uint32_t capacity, bool closing,
+                           std::uint64_t call_seq) {
+    const bool taken = admission_.beat(life, capacity, closing, call_seq);
+    look(now);
+    return taken;
+}
+
+void InboundRequests::seen_well(Millis now, const std::string& life, std::uint32_t capacity) {
+    admission_.seen_well(life, capacity);
+    look(now);
+}
+
+void InboundRequests::gone(Millis now, const std::string& life) {
+    admission_.gone(life);
+    look(now);
+}
+
+void InboundRequests::leave(Millis now) {
+    admission_.leave();
+    look(now);
+}
+
+void InboundRequests::arrived(Millis now, Ticket ticket, const Arrival& arrival,
+                              const std::optional<LinkState>& link) {
+    Offer offer;
+    offer.ticket = ticket;
+    offer.id = arrival.id;
+    offer.life = arrival.life;
+    offer.once = arrival.once;
+    offer.may_wait = arrival.may_wait;
+    offer.rank = arrival.rank;
+    offer.deadline = arrival.deadline;
+    offer.due = now + arrival.target;
+    Request& request = requests_[ticket];
+    request.deadline = arrival.deadline;
+    request.kind = arrival.kind;
+    if (link) promise_link(request, offer, *link);
+    const Answer said = admission_.offer(now, offer);
+    if (said.act == Act::begin) begin(now, ticket);
+    if (said.act == Act::refuse) refuse(ticket, said.reason);
+    if (said.act == Act::wait) look_soon();
+}
+
+// Long answers alone: short ones pass between their pieces.
+void InboundRequests::promise_link(Request& request, Offer& offer, const LinkState& link) {
+    const double bytes = answer_sizes_.expected(request.kind);
+    if (static_cast<std::size_t>(bytes) < link.long_from) return;
+    offer.link_wait = link.backlog + promised_bytes_ / link.bytes_per_ms;
+    offer.link_time = bytes / link.bytes_per_ms;
+    request.promised_bytes = bytes;
+    promised_bytes_ += bytes;
+}
+
+void InboundRequests::begin(Millis now, Ticket ticket) {
+    Request& request = requests_.at(ticket);
+    request.at_work = true;
+    request.began = now;
+    const Millis until = request.deadline + kLate;
+    deadlines_.emplace(std::pair(until, ticket), true);
+    executor_.begin(ticket, until);
+    look_soon();
+}
+
+void InboundRequests::refuse(Ticket ticket, Reason reason) {
+    forget(ticket);
+    executor_.refuse(ticket, reason);
+}
+
+void InboundRequests::forget(Ticket ticket) {
+    const auto at = requests_.find(ticket);
+    if (at == requests_.end()) return;
+    promised_bytes_ -= at->second.promised_bytes;
+    requests_.erase(at);
+}
+
+void InboundRequests::ended(Millis now, Ticket ticket, const ServerEnd& end) {
+    const auto at = requests_.find(ticket);
+    if (at == requests_.end()) return;
+    const Request& request = at->second;
+    deadlines_.erase({request.deadline + kLate, ticket});
+    if (end.answer_bytes) answer_sizes_.learn(request.kind, *end.answer_bytes);
+    const bool worked = !end.failure || end.failure->execution != Execution::not_run;
+    admission_.ended(ticket, end.success && worked ? now - request.began : 0, worked);
+    forget(ticket);
+    look_soon();
+}
+
+bool InboundRequests::withdraw(Ticket ticket) {
+    const auto at = requests_.find(ticket);
+    if (at == requests_.end()) return true;
+    if (at->second.at_work) {
+        executor_.cancel(ticket);
+        return false;
+    }
+    admission_.withdraw(ticket);
+    forget(ticket);
+    return true;
+}
+
+void InboundRequests::look_soon() {
+    if (std::exchange(looking_, true)) return;
+    executor_.look_soon();
+}
+
+void InboundRequests::timer_fired(Millis now) {
+    armed_for_ = 0;
+    look(now);
+}
+
+void InboundRequests::look(Millis now) {
+    looking_ = false;
+    for (const Turned& turned : admission_.turned(now)) refuse(turned.ticket, turned.reason);
+    for (const Ticket ticket : admission_.next(now)) begin(now, ticket);
+    while (!deadlines_.empty() && deadlines_.begin()->first.first <= now) {
+        const Ticket late = deadlines_.begin()->first.second;
+        deadlines_.erase(deadlines_.begin());
+        executor_.expire(late);
+    }
+    Millis next = admission_.due();
+    if (!deadlines_.empty() && (next == 0 || deadlines_.begin()->first.first < next))
+        next = deadlines_.begin()->first.first;
+    if (next == 0 || next == armed_for_) return;
+    armed_for_ = next;
+    executor_.look_at(next);
+}
+
+}  // namespace cobaltshift::admission
--- a/src/net/dialect.hpp
+++ b/src/net/dialect.hpp
@@ -15,9 +15,6 @@
 
 // What has become of a request so far.
 struct Story {
-    std::uint32_t class_index = 0;
-    std::uint32_t offered = 0;  // attempts that may have run, or were turned away by a server itself
-    bool may_have_run = false;
     std::any mark;  // the dialect's own
     std::optional<HttpResponse>
         last;  // the newest answer that was not passed on, where the dialect wants it kept
--- a/src/net/paced_link.hpp
+++ b/src/net/paced_link.hpp
@@ -23,6 +23,7 @@
     PacedLink& operator=(const PacedLink&) = delete;
 
     bool is_long(std::size_t bytes) const { return scheduler_.is_long(bytes); }
+    std::size_t long_from() const { return scheduler_.long_from(); }
     // A short answer is being written by its owner.
     void sent(std::size_t bytes) { scheduler_.sent(clock_.now(), bytes); }
     // Writes `bytes` by turns; `done` once all is with the kernel, or with the error that ended it, unless
--- a/src/net/send_scheduler.hpp
+++ b/src/net/send_scheduler.hpp
@@ -37,6 +37,7 @@
     explicit SendScheduler(const Settings& settings) : settings_(settings) {}
 
     bool is_long(std::size_t bytes) const { return bytes >= settings_.long_from; }
+    std::size_t long_from() const { return settings_.long_from; }
     // A short answer was written.
     void sent(Millis now, std::size_t bytes);
     // A long answer waits to be written. Its id is good until finished() or remove().
--- a/src/proxy/hop.cpp
+++ b/src/proxy/hop.cpp
@@ -4,6 +4,8 @@
 #include <charconv>
 #include <cmath>
 
+#include "hop/attempt_rules.hpp"
+#include "hop/server_answer.hpp"
 #include "net/dialect.hpp"
 
 namespace cobaltshift::proxy {
@@ -44,15 +46,12 @@
 }
 
 leaf::result<HttpResponse> server_answer(HttpResponse response) {
-    const unsigned status = response.result_int();
-    if (response.count(kNotRun) > 0 || status == 421)
-        return leaf::new_error(Failure{Execution::not_run, Reason::turned_away});
-    if (status / 100 == 2 &&
-        (response[kPostmark].empty() || response.count(http::field::content_encoding) > 0))
-        return leaf::new_error(Failure{Execution::may_have_run, Reason::broken});
-    // Of these the server says by Not-Run that they hold; without it they would promise too much.
-    if (status == 429 || status == 503 || status == 408)
-        return leaf::new_error(Failure{Execution::may_have_run, Reason::broken});
+    hop::ServerAnswerHead head;
+    head.status = response.result_int();
+    head.not_run = response.count(kNotRun) > 0;
+    head.stamped = !response[kPostmark].empty();
+    head.encoded = response.count(http::field::content_encoding) > 0;
+    if (const auto failure = hop::failure_of_answer(head)) return leaf::new_error(*failure);
     response.set(kVerdict, "ran");
     response.erase(kEdition);
     return response;
@@ -94,9 +93,7 @@
 }
 
 HttpResponse failure(Reason reason) {
-    return HttpResponse(reason == Reason::silent || reason == Reason::late ? http::status::gateway_timeout
-                                                                           : http::status::bad_gateway,
-                        11);
+    return HttpResponse(static_cast<http::status>(hop::AttemptRules::failure_status(reason)), 11);
 }
 
 std::optional<double> read_ms(beast::string_view text) {
--- a/src/proxy/hop.hpp
+++ b/src/proxy/hop.hpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <string>
 
-#include "config/configuration.hpp"
+#include "hop/hop.hpp"
 #include "net/http.hpp"
 #include "outcome/outcome.hpp"
 
@@ -26,15 +26,7 @@
                      *kRequestId = "Request-Id", *kDeadline = "Deadline-Ms", *kInstance = "Expect-Instance",
                      *kCaller = "Caller", *kPostmark = "Postmark", *kNotRun = "Not-Run";
 
-struct Hop {
-    config::RouteKind kind = config::RouteKind::registered;
-    int rank = 0;
-    double target_ms = 0;
-    unsigned tries = 1;
-    bool may_wait = false;
-    std::uint64_t edition = 0;
-    bool once() const { return kind == config::RouteKind::registered; }
-};
+using hop::Hop;
 
 std::string to_text(const Hop& hop);
 std::optional<Hop> read_hop(beast::string_view text);
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -1,15 +1,14 @@
-// The server's side of a proxy: takes requests from other proxies, asks the Admission whether and when they
-// may begin, passes them to the application server over few kept connections, and says truly what came of it.
-// Entry type: Inbound, a Listener's Front. Made by Proxy.
+// The server's side of a proxy over sockets: takes requests from other proxies, passes those that
+// admission::InboundRequests lets begin to the application server over few kept connections, and says truly
+// what came of it. Entry type: Inbound, a Listener's Front. Made by Proxy.
 #pragma once
 
 #include <functional>
-#include <map>
 #include <memory>
+#include <optional>
 #include <unordered_map>
 
-#include "admission/admission.hpp"
-#include "admission/answer_sizes.hpp"
+#include "admission/inbound_requests.hpp"
 #include "boot/boot.hpp"
 #include "net/clock.hpp"
 #include "net/front.hpp"
@@ -19,7 +18,7 @@
 
 namespace cobaltshift::proxy {
 
-class Inbound : public Front {
+class Inbound : public Front, private admission::Executor {
 public:
     struct Around {
         std::function<std::uint64_t()> edition;
@@ -36,8 +35,8 @@
     void ask_health(const std::string& path, std::uint32_t capacity,
                     std::function<void(const std::string& life)> well);
     void leave();
-    const admission::Admission& admission() const { return admission_; }
-    bool busy() const { return !jobs_.empty(); }
+    const admission::Admission& admission() const { return requests_.admission(); }
+    bool busy() const { return requests_.busy(); }
 
     Bounds bounds() const override;
     std::optional<http::status> fault(const HttpRequest& head) override;
@@ -47,37 +46,31 @@
     void client_gone(RequestId id) override;
 
 private:
-    struct Job {
+    // What the core does not need to know of a request.
+    struct Held {
         RequestPtr message;
         std::weak_ptr<Client> client;
-        Millis deadline = 0, began = 0;
-        bool at_work = false;
-        admission::AnswerSizes::Kind kind;
-        double promised_bytes = 0;  // of the link, until its answer is handed to it
     };
-    void promise_link(Job& job, admission::Offer& offer);
-    void forget(std::unordered_map<admission::Ticket, Job>::iterator job);
-    void begin(admission::Ticket ticket);
+    void begin(admission::Ticket ticket, Millis until) override;
+    void refuse(admission::Ticket ticket, Reason reason) override;
+    void expire(admission::Ticket ticket) override { upstream_.expire({ticket, 0}); }
+    void cancel(admission::Ticket ticket) override { upstream_.cancel({ticket, 0}); }
+    void look_soon() override;
+    void look_at(Millis when) override;
+
+    std::optional<admission::LinkState> link_state() const;
     void ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response);
     void answer(admission::Ticket ticket, HttpResponse response);
-    void look();  // what may begin, what is turned away, when to look again
-    void look_soon();
 
     asio::io_context& io_;
     const Clock& clock_;
     const boot::Boot& boot_;
     Around around_;
-    admission::Admission admission_;
+    admission::InboundRequests requests_;
     const PacedLink* const link_;
-    admission::AnswerSizes answer_sizes_;
-    double promised_bytes_ = 0;
     Upstream upstream_;
-    std::unordered_map<admission::Ticket, Job> jobs_;
-    std::map<std::pair<Millis, admission::Ticket>, bool> deadlines_;  // of those at work
-    admission::Ticket next_ = 1;
+    std::unordered_map<admission::Ticket, Held> held_;
     asio::steady_timer timer_;
-    Millis armed_for_ = 0;
-    bool looking_ = false;
 };
 
 }  // namespace cobaltshift::proxy
--- a/src/proxy/mesh_dialect.hpp
+++ b/src/proxy/mesh_dialect.hpp
@@ -1,11 +1,11 @@
-// The mesh's words for what a Sidecar does on the caller's side of a hop: one for each service. The module
-// picks; here a further try is vetoed where the route, the shared budget or a possible run forbids it. Entry
-// type: MeshDialect. Called by Sidecar; made by Outbound.
+// The mesh's words for what a Sidecar does on the caller's side of a hop: one for each service. What may be
+// sent and said is hop::AttemptRules'; here it is read from messages and written into them. Entry type:
+// MeshDialect. Called by Sidecar; made by Outbound.
 #pragma once
 
 #include <functional>
 
-#include "admission/retry_budget.hpp"
+#include "hop/attempt_rules.hpp"
 #include "net/clock.hpp"
 #include "net/dialect.hpp"
 #include "proxy/hop.hpp"
@@ -24,7 +24,7 @@
         std::function<void(const std::string& life, std::uint64_t edition)> newer;
     };
     MeshDialect(Around around, admission::RetryBudget::Settings budget)
-        : around_(std::move(around)), retry_budget_(budget) {}
+        : around_(std::move(around)), rules_(budget) {}
 
     UpstreamManner manner() override;
     RequestArrived classify(const HttpRequest& message, Story& story) override;
@@ -34,21 +34,11 @@
     HttpResponse refusal(Story& story, Millis retry_in) override;
     HttpResponse failure(Story& story) override;
 
-    struct Counts {
-        std::uint64_t requests = 0, tries = 0, bounced = 0, vetoed = 0, broken = 0, refused = 0, failed = 0;
-    };
-    const Counts& counts() const { return counts_; }
+    const hop::AttemptRules::Counts& counts() const { return rules_.counts(); }
 
 private:
-    struct Mark {  // of one request
-        Hop hop;
-        unsigned sent = 0;   // attempts, bounced ones too
-        std::string server;  // the newest's
-        Reason reason = Reason::no_server;
-    };
     Around around_;
-    admission::RetryBudget retry_budget_;
-    Counts counts_;
+    hop::AttemptRules rules_;
 };
 
 }  // namespace cobaltshift::proxy
--- a/src/proxy/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -7,6 +7,7 @@
 #include "admission/module_settings.hpp"
 #include "net/form.hpp"
 #include "net/path.hpp"
+#include "routing/service_choice.hpp"
 
 namespace cobaltshift::proxy {
 
@@ -14,19 +15,28 @@
 using config::RouteKind;
 
 namespace {
-// Taken off the client's time: the answer has to be there before it gives up, not on its way.
-constexpr Millis kAnswerMargin = 8;
 constexpr Millis kConnectWithin = 400, kIdleClose = 9000, kDeadAfter = 2500;
 constexpr double kConnectionShare = 0.25;  // of the descriptors, to other proxies, for all services
 constexpr std::size_t kLeastConnections = 32, kLeastServices = 4;
-constexpr Millis kAvoidFor = 700, kRetryUnsettled = 500, kEarlyFor = 900;
 constexpr Millis kBodyTime = 30000;
 constexpr std::size_t kMostBody = 64 << 20;
-constexpr std::size_t kMostEarly = 500;
-constexpr RequestId kEarlyBit = 1ULL << 63;
 constexpr int kIdBits = 48;  // of a request's number; above it its pool's
 constexpr std::uint32_t kProxies = 15;
 
+HttpResponse unsettled() {
+    return refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), routing::kRetryUnsettled);
+}
+
+Host host_of(const routing::ListedServer& server) {
+    Host host;
+    host.name = server.life;
+    host.dial = {asio::ip::address_v4(server.ip), server.traffic_port};
+    host.zone = server.zone;
+    host.born = server.born;
+    host.units = server.units;
+    host.phase = server.phase;
+    return host;
+}
 }  // namespace
 
 struct Outbound::Pool {
@@ -58,12 +68,11 @@
         return {owner.clock_, owner.around_.live_proxies,
                 [&owner] { return owner.configuration_ ? owner.configuration_->edition : 0; },
                 [&owner](const std::string& life) {
-                    owner.avoided_[life] = owner.clock_.now() + kAvoidFor;
+                    owner.directory_.avoid(owner.clock_.now(), life);
                     owner.registry_changed();
                 },
                 [&owner](const std::string& life, std::uint64_t edition) {
-                    if (const auto at = owner.ip_of_.find(life); at != owner.ip_of_.end())
-                        owner.around_.newer(at->second, edition);
+                    if (const auto ip = owner.directory_.ip_of(life)) owner.around_.newer(*ip, edition);
                 }};
     }
     static admission::RetryBudget::Settings budget(const boot::Boot& boot) {
@@ -89,9 +98,9 @@
       around_(std::move(around)),
       seed_(seed),
       lots_(seed),
+      early_(clock.now()),
       early_timer_(io),
       avoid_timer_(io) {
-    early_until_ = clock.now() + kEarlyFor;
     ZoneId next = 0;
     for (const auto& [zone, region] : boot.zones) zones_[zone] = next++;
 }
@@ -102,22 +111,22 @@
     configuration_ = std::move(configuration);
     for (const auto& [name, service] : configuration_->services) pool(name);
     early_timer_.cancel();
-    for (Early& one : std::exchange(early_, {})) {
-        const auto client = one.client.lock();
+    for (auto& early : early_.take()) {
+        EarlyRequest& request = early.request;
+        const auto client = request.client.lock();
         if (!client) continue;
-        if (auto response = local(*one.request))
+        if (auto response = local(*request.message))
             client->answer(std::move(*response));
         else
-            later_[one.id] =
-                arrived(std::move(one.request), one.spent + clock_.now() - one.came, std::move(one.client));
+            later_[early.id] = arrived(std::move(request.message), request.spent + clock_.now() - early.came,
+                                       std::move(request.client));
     }
 }
 
 // The first configuration has not come in time: what waits for it is told when to come back.
 void Outbound::refuse_early() {
-    for (Early& one : std::exchange(early_, {}))
-        if (const auto client = one.client.lock())
-            client->answer(refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), kRetryUnsettled));
+    for (const auto& early : early_.take())
+        if (const auto client = early.request.client.lock()) client->answer(unsettled());
 }
 
 Outbound::Pool& Outbound::pool(const std::string& service) {
@@ -147,48 +156,19 @@
 
 void Outbound::list_servers() {
     listing_ = false;
-    const Millis now = clock_.now();
-    std::map<std::string, HostList> lists;
-    std::map<std::string, Millis> born;
-    ip_of_.clear();
-    std::erase_if(avoided_, [now](const auto& one) { return one.second <= now; });
-    Millis look_again = 0;
-    around_.each([&](const registry::NodeRecord& node, registry::Standing standing) {
-        if (!node.server || node.server->life.empty() || standing == registry::Standing::gone) return;
-        const registry::ServerRecord& server = *node.server;
-        // As of when this life was first heard: the module takes another start for another process.
-        const auto known = born_.find(server.life);
-        born[server.life] = known != born_.end() ? known->second
-                            : server.warmup_left_s > 0
-                                ? now + server.warmup_left_s * 1000 - admission::kWarmWithin
-                                : 0;
-        ip_of_[server.life] = node.ip;
-        Host host;
-        host.name = server.life;
-        host.dial = {asio::ip::address_v4(node.ip), node.traffic_port};
-        host.zone = node.zone;
-        host.born = born[server.life];
-        host.units = std::max(1U, server.capacity);
-        const auto avoided = avoided_.find(server.life);
-        if (avoided != avoided_.end())
-            look_again = look_again == 0 ? avoided->second : std::min(look_again, avoided->second);
-        const bool on = node.ready && !node.leaving && !server.closing &&
-                        standing == registry::Standing::alive && avoided == avoided_.end();
-        host.phase = on ? Phase::on : Phase::fading;
-        lists[server.service].hosts.push_back(std::move(host));
-    });
-    born_ = std::move(born);
+    const auto lists = directory_.list(clock_.now(), around_.each);
     for (auto& [service, pool] : pools_) {
-        HostList& list = lists[service];
+        HostList list;
         list.whole = true;
+        if (const auto at = lists.by_service.find(service); at != lists.by_service.end())
+            for (const routing::ListedServer& server : at->second) list.hosts.push_back(host_of(server));
         pool->sidecar->told(list);
     }
-    if (look_again > 0) {
-        avoid_timer_.expires_at(clock_.point(look_again));
-        avoid_timer_.async_wait([this, alive = alive_](error_code ec) {
-            if (*alive && !ec) registry_changed();
-        });
-    }
+    if (lists.again_at == 0) return;
+    avoid_timer_.expires_at(clock_.point(lists.again_at));
+    avoid_timer_.async_wait([this, alive = alive_](error_code ec) {
+        if (*alive && !ec) registry_changed();
+    });
 }
 
 // ---- Requests ---------------------------------------------------------------------------------------------
@@ -230,33 +210,17 @@
 
 std::optional<HttpResponse> Outbound::local(const HttpRequest& request) {
     if (!configuration_) {
-        if (clock_.now() < early_until_ && early_.size() < kMostEarly) return {};
-        return refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), kRetryUnsettled);
+        if (early_.may_wait(clock_.now())) return {};
+        return unsettled();
     }
     if (!route_of(request)) return HttpResponse(http::status::not_found, 11);
     return {};
 }
 
-const std::string& Outbound::choose(const Route& route) {
-    double total = 0;
-    for (const auto& share : route.split) total += share.weight;
-    double left = lots_.unit() * total;
-    const std::string* chosen = nullptr;
-    for (const auto& share : route.split) {
-        if (share.weight <= 0) continue;
-        chosen = &share.service;
-        if (left < share.weight) break;
-        left -= share.weight;
-    }
-    return chosen ? *chosen : route.split.front().service;
-}
-
 RequestId Outbound::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
     if (!configuration_) {
-        const RequestId id = kEarlyBit | ++early_id_;
-        early_.push_back({std::move(request), std::move(client), clock_.now(), spent, id});
-        if (early_.size() > 1) return id;
-        early_timer_.expires_at(clock_.point(early_until_));
+        const RequestId id = early_.add(clock_.now(), {std::move(request), std::move(client), spent});
+        early_timer_.expires_at(clock_.point(early_.until()));
         early_timer_.async_wait([this, alive = alive_](error_code ec) {
             if (*alive && !ec) refuse_early();
         });
@@ -264,7 +228,7 @@
     }
     const Route* route = route_of(*request);
     const Millis client_left = read_ms((*request)[kDeadline]).value_or(route->deadline_ms);
-    const Millis left = std::min(client_left, route->deadline_ms) - spent - kAnswerMargin;
+    const Millis left = routing::time_left(*route, client_left, spent);
     // Whatever Connection names, these stay: the server and the admission go by them.
     const std::string name((*request)[kRequestId]), host((*request)[http::field::host]);
     strip_hop_by_hop(*request);
@@ -279,14 +243,14 @@
     request->set(kHop, to_text(hop));
     request->set(kCaller, boot_.service);
     request->prepare_payload();
-    Pool& to = pool(choose(*route));
-    const RequestId id = to.sidecar->arrived(std::move(request), std::max(0.0, left), std::move(client));
+    Pool& to = pool(routing::choose_service(*route, lots_.unit()));
+    const RequestId id = to.sidecar->arrived(std::move(request), left, std::move(client));
     return to.number << kIdBits | id;
 }
 
 void Outbound::client_gone(RequestId id) {
-    if (id & kEarlyBit) {
-        std::erase_if(early_, [id](const Early& one) { return one.id == id; });
+    if (early_.is_early(id)) {
+        early_.remove(id);
         const auto later = later_.find(id);
         if (later == later_.end()) return;
         id = later->second;
--- a/src/proxy/outbound.hpp
+++ b/src/proxy/outbound.hpp
@@ -5,7 +5,6 @@
 
 #include <map>
 #include <memory>
-#include <set>
 #include <string>
 
 #include "boot/boot.hpp"
@@ -14,6 +13,8 @@
 #include "proxy/mesh_dialect.hpp"
 #include "random.hpp"
 #include "registry/records.hpp"
+#include "routing/early_requests.hpp"
+#include "routing/server_directory.hpp"
 
 namespace cobaltshift::proxy {
 
@@ -51,7 +52,6 @@
     Pool& pool(const std::string& service);
     void list_servers();
     const config::Route* route_of(const HttpRequest& request) const;
-    const std::string& choose(const config::Route& route);
 
     asio::io_context& io_;
     const Clock& clock_;
@@ -60,25 +60,19 @@
     std::uint64_t seed_;
     kelplb::Random lots_;
     std::shared_ptr<const config::Configuration> configuration_;
-    // Read while this proxy holds no configuration yet: they wait a moment for it.
-    struct Early {
-        RequestPtr request;
+    struct EarlyRequest {
+        RequestPtr message;
         std::weak_ptr<Client> client;
-        Millis came = 0, spent = 0;
-        RequestId id = 0;
+        Millis spent = 0;
     };
     void refuse_early();
-    std::vector<Early> early_;
-    Millis early_until_ = 0;
-    RequestId early_id_ = 0;
+    routing::EarlyRequests<EarlyRequest> early_;
     std::map<RequestId, RequestId> later_;  // the number that an early one was given, and the one it has now
     asio::steady_timer early_timer_;
     std::map<std::string, std::unique_ptr<Pool>> pools_;
     std::vector<Pool*> by_number_;
     std::map<std::string, ZoneId> zones_;
-    std::map<std::string, Millis> avoided_;  // lives whose admission takes nothing, until when
-    std::map<std::string, Millis> born_;     // lives, as the module is told
-    std::map<std::string, std::uint32_t> ip_of_;
+    routing::ServerDirectory directory_;
     asio::steady_timer avoid_timer_;
     bool listing_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
