--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -78,6 +78,7 @@
             if (verb == "close") close(c, ip, lasts);
             if (verb == "crash") crash(ip, lasts);
             if (verb == "lose") lose(c, ip, lasts);
+            if (verb == "reset") reset(c, ip);
         }
         if (verb == "release") release(c);
     }
@@ -211,12 +212,20 @@
                           : how == "silence" ? Server::Loses::by_silence
                           : how == "half"    ? Server::Loses::half
                           : how == "extra"   ? Server::Loses::extra
+                          : how == "twice"   ? Server::Loses::twice
+                          : how == "idle"    ? Server::Loses::idle
+                          : how == "fails"   ? Server::Loses::fails
                                              : throw ScriptError(c.where + ": loses what?");
         if (Server* server = world_.server(ip)) server->lose(kind, c.number("share", 0.3));
         after(lasts, [this, ip] {
             if (Server* server = world_.server(ip)) server->lose(Server::Loses::nothing, 0);
         });
     }
+    void reset(const Command& c, Ip ip) {
+        world_.trouble(ip, true);
+        world_.net.reset_some(ip, c.number("share", 0.5));
+        world_.trouble(ip, false);
+    }
     void release(const Command& c) {
         const double each = c.number("each", 4);
         double when = 0;
--- a/src/sim_mesh/inbound.cpp
+++ b/src/sim_mesh/inbound.cpp
@@ -1,193 +1,108 @@
-#include <algorithm>
+#include "sim_mesh/inbound.hpp"
 
+#include "hop/server_answer.hpp"
 #include "sim_mesh/proxy.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
 
 namespace {
-constexpr Millis kLate = 40;  // as proxy/inbound.cpp
+// As proxy/inbound.cpp.
+constexpr exchange::Limits kToServer{1000, 9000, 64, 0.5};
+
+hop::ServerAnswerHead head_of(const ServerAnswer& answer) {
+    hop::ServerAnswerHead head;
+    head.status = status_of(answer);
+    head.not_run = answer.kind == ServerAnswer::Kind::turned_away;
+    head.stamped = true;
+    return head;
 }
+}  // namespace
+
+Inbound::Inbound(Proxy& owner, World& world, Ip ip)
+    : owner_(owner),
+      world_(world),
+      ip_(ip),
+      requests_(*this),
+      connections_(world, ip, kToServer,
+                   [this](AttemptKey key, kelplb::Outcome outcome, const ServerAnswer* said) {
+                       ended(key.id, outcome, said);
+                   }) {}
 
 bool Inbound::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t seq) {
-    const bool taken =
-        admission_.beat(life, capacity, closing && world_.safeguards.closing_at_admission, seq);
-    look();
-    return taken;
+    if (life != admission().life()) connections_.pool().retire(0);
+    return requests_.beat(world_.time.now(), life, capacity,
+                          closing && world_.safeguards.closing_at_admission, seq);
 }
 
 void Inbound::gone(const std::string& life) {
-    if (world_.safeguards.closing_at_admission) admission_.gone(life);
-    look();
+    if (world_.safeguards.closing_at_admission) requests_.gone(world_.time.now(), life);
 }
 
-void Inbound::leave() {
-    admission_.leave();
-    look();
-}
+void Inbound::leave() { requests_.leave(world_.time.now()); }
 
 void Inbound::seen_well(const std::string& life, std::uint32_t capacity) {
-    admission_.seen_well(life, capacity);
-    look();
+    requests_.seen_well(world_.time.now(), life, capacity);
 }
 
-void Inbound::arrived(const HopRequest& hop, const CallPtr& call, Answered answered) {
+void Inbound::arrived(const HopMessage& message, const CallPtr& call, Answered answered) {
     const Millis now = world_.time.now();
-    const admission::Ticket ticket = next_++;
-    if (hop.edition > owner_.edition()) owner_.hop_newer(hop.edition);
-    admission::Offer offer;
-    offer.ticket = ticket;
-    offer.id = hop.id;
-    offer.life = world_.safeguards.life_expected ? hop.expected : admission_.life();
-    offer.once = hop.once && world_.safeguards.once_at_admission;
-    offer.may_wait = hop.may_wait;
-    offer.rank = hop.rank;
-    offer.deadline = now + hop.left;
-    offer.due = now + hop.target;
-    Job& job = jobs_[ticket];
-    job.hop = hop;
-    job.answer = std::move(answered);
-    job.deadline = offer.deadline;
-    call->on_closed = [this, ticket] { client_gone(ticket); };
-    const admission::Answer said = admission_.offer(now, offer);
-    if (said.act == admission::Act::begin) begin(ticket);
-    if (said.act == admission::Act::refuse) answer(ticket, {Failure{Execution::not_run, said.reason}, {}, 0});
-    if (said.act == admission::Act::wait) look_soon();
+    const admission::Ticket ticket = requests_.next_ticket();
+    if (message.hop.edition > owner_.edition()) owner_.hop_newer(message.hop.edition);
+    admission::Arrival arrival;
+    arrival.id = message.id;
+    arrival.life = world_.safeguards.life_expected ? message.expected : admission().life();
+    arrival.once = message.hop.once() && world_.safeguards.once_at_admission;
+    arrival.may_wait = message.hop.may_wait;
+    arrival.rank = message.hop.rank;
+    arrival.kind = {static_cast<int>(message.hop.kind), message.hop.rank,
+                    static_cast<long>(message.hop.target_ms)};
+    arrival.target = message.hop.target_ms;
+    arrival.deadline = now + message.left;
+    held_[ticket] = {std::make_shared<HopMessage>(message), std::move(answered)};
+    call->on_closed = [this, ticket] {
+        if (requests_.withdraw(ticket)) held_.erase(ticket);
+    };
+    requests_.arrived(now, ticket, arrival, std::nullopt);
 }
 
-void Inbound::client_gone(admission::Ticket ticket) {
-    const auto at = jobs_.find(ticket);
-    if (at == jobs_.end()) return;
-    if (!at->second.at_work) {
-        admission_.withdraw(ticket);
-        jobs_.erase(at);
-        return;
-    }
-    if (Server* server = world_.server(owner_.ip())) server->dropped(at->second.at_server);
-    lines_.erase(at->second.line);
-    admission_.ended(ticket, 0);
-    jobs_.erase(at);
-    look_soon();
+void Inbound::begin(admission::Ticket ticket, Millis until) {
+    connections_.pool().send({ticket, 0}, 0, ip_, held_.at(ticket).message, until);
 }
 
-void Inbound::begin(admission::Ticket ticket) {
-    Job& job = jobs_.at(ticket);
-    job.at_work = true;
-    job.began = world_.time.now();
-    look_soon();
-    Server* server = world_.server(owner_.ip());
-    // A kept line to this life, or a new one.
-    std::size_t number = 0;
-    std::erase_if(lines_, [&](const auto& one) {
-        return server && one.second.ticket == 0 && one.second.life != server->life();
-    });
-    for (const auto& [n, line] : lines_)
-        if (line.ticket == 0 && number == 0) number = n;
-    // A byte too many on an idle line: it is never used again.
-    if (number != 0 && lines_[number].stray && world_.safeguards.ids_compared)
-        lines_.erase(number), number = 0;
-    if (number == 0) number = next_line_++;
-    Line& line = lines_[number];
-    line.ticket = ticket;
-    job.line = number;
-    const auto in_turn = [this, ticket](const ServerAnswer& said, bool silent) {
-        owner_.after(0, [this, ticket, said, silent] { ended(ticket, said, silent); });
-    };
-    if (!server) {
-        owner_.after(0.3, [in_turn] { in_turn({ServerAnswer::Kind::refused, {}}, false); });
-        return;
-    }
-    line.life = server->life();
-    if (line.stray) {
-        const ServerAnswer stray = *std::exchange(line.stray, std::nullopt);
-        owner_.after(0.3, [in_turn, stray] { in_turn(stray, false); });
-    }
-    // Where this process has ended, what comes goes nowhere.
-    const auto here = [&net = world_.net, ip = owner_.ip(), epoch = world_.net.machine(owner_.ip()).epoch](
-                          auto what) { net.in_process(ip, epoch, what); };
-    Run run{job.hop.request, server->service(), server->life(), job.hop.caller,
-            owner_.ip(),     job.hop.by,        job.hop.id,     job.hop.path};
-    const auto answered = [this, here, ticket](const ServerAnswer& said) {
-        here([this, ticket, said] { ended(ticket, said, false); });
-    };
-    const auto extra = [this, here, number, life = server->life()](const ServerAnswer& said) {
-        here([this, number, life, said] {
-            const auto at = lines_.find(number);
-            if (at == lines_.end() || at->second.life != life) return;
-            if (at->second.ticket != 0)
-                ended(at->second.ticket, said, false);
-            else
-                at->second.stray = said;
-        });
-    };
-    job.at_server =
-        server->take(run, world_.safeguards.life_expected ? job.hop.expected : "", answered, extra);
-    owner_.after(std::max(0.0, job.deadline + kLate - world_.time.now()), [this, ticket] {
-        ended(ticket, {ServerAnswer::Kind::none, {}}, true);
-    });
+void Inbound::refuse(admission::Ticket ticket, Reason reason) {
+    answer(ticket, {Failure{Execution::not_run, reason}, {}, 0});
 }
 
-void Inbound::ended(admission::Ticket ticket, const ServerAnswer& said, bool silent) {
-    using Kind = ServerAnswer::Kind;
-    const auto at = jobs_.find(ticket);
-    if (at == jobs_.end() || !at->second.at_work) return;
-    Job& job = at->second;
-    HopAnswer out;
-    bool keep = said.kind == Kind::whole || said.kind == Kind::turned_away;
-    const bool stray = said.kind == Kind::whole && said.id != job.hop.id;
-    if (silent) {
-        out.failure = Failure{Execution::may_have_run, Reason::silent};
-    } else if (stray && world_.safeguards.ids_compared) {
-        out.failure = Failure{Execution::may_have_run, Reason::broken};
-        keep = false;
-    } else if (said.kind == Kind::whole) {
-        out.answer = {200, said.id, 0, false};
-    } else if (said.kind == Kind::turned_away) {
-        out.failure = Failure{Execution::not_run, Reason::turned_away};
-    } else if (said.kind == Kind::wrong_life) {
-        out.failure = Failure{Execution::not_run, Reason::wrong_life};
-    } else if (said.kind == Kind::refused) {
-        out.failure = Failure{Execution::not_run, Reason::unreachable};
-    } else {
-        out.failure = Failure{Execution::may_have_run, Reason::broken};
-    }
-    if (silent)
-        if (Server* server = world_.server(owner_.ip())) server->dropped(job.at_server);
-    if (const auto line = lines_.find(job.line); line != lines_.end()) {
-        line->second.ticket = 0;
-        if (!keep) lines_.erase(line);
-    }
-    admission_.ended(ticket, out.failure ? 0 : world_.time.now() - job.began);
-    answer(ticket, std::move(out));
-    look_soon();
+void Inbound::ended(admission::Ticket ticket, kelplb::Outcome outcome, const ServerAnswer* said) {
+    admission::ServerEnd end;
+    end.success = outcome == kelplb::Outcome::completed;
+    if (said) end.answer_bytes = 0;
+    end.failure = said ? hop::failure_of_answer(head_of(*said)) : hop::failure_without_answer(outcome);
+    requests_.ended(world_.time.now(), ticket, end);
+    HopAnswer answered;
+    answered.failure = end.failure;
+    if (said && !end.failure) answered.answer = {status_of(*said), said->id, 0, false};
+    answer(ticket, std::move(answered));
 }
 
 void Inbound::answer(admission::Ticket ticket, HopAnswer said) {
-    const auto at = jobs_.find(ticket);
-    if (at == jobs_.end()) return;
+    const auto at = held_.find(ticket);
+    if (at == held_.end()) return;
     said.edition = owner_.edition();
     const Answered answered = std::move(at->second.answer);
-    jobs_.erase(at);
+    held_.erase(at);
     answered(said);
 }
 
 void Inbound::look_soon() {
-    if (std::exchange(looking_, true)) return;
-    owner_.after(0, [this] { look(); });
+    owner_.after(0, [this] { requests_.look(world_.time.now()); });
 }
 
-void Inbound::look() {
-    looking_ = false;
-    const Millis now = world_.time.now();
-    for (const auto& turned : admission_.turned(now))
-        answer(turned.ticket, {Failure{Execution::not_run, turned.reason}, {}, 0});
-    for (const admission::Ticket ticket : admission_.next(now)) begin(ticket);
-    const Millis next = admission_.due();
-    if (next == 0 || next == armed_) return;
-    armed_ = next;
-    world_.net.at(owner_.ip(), next, [this] {
-        armed_ = 0;
-        look();
+void Inbound::look_at(Millis when) {
+    const std::uint64_t timer = ++timers_;
+    world_.net.at(ip_, when, [this, timer] {
+        if (timer == timers_) requests_.timer_fired(world_.time.now());
     });
 }
 
--- a/src/sim_mesh/network.cpp
+++ b/src/sim_mesh/network.cpp
@@ -102,42 +102,94 @@
             arrive(call);
         });
     };
-    if (epoch != 0) {
+    if (epoch != 0)
         send();
-    } else {
-        pass(call, true, [this, call, send] {
-            call->to_epoch = machine(call->to).epoch;
-            pass(call, false, [call, send] {
-                call->connected = true;
-                send();
-            });
+    else
+        shake_hands(call, send);
+    return call;
+}
+
+void Network::shake_hands(const CallPtr& call, Task connected) {
+    pass(call, true, [this, call, connected = std::move(connected)] {
+        call->to_epoch = machine(call->to).epoch;
+        pass(call, false, [call, connected] {
+            call->connected = true;
+            connected();
         });
-    }
+    });
+}
+
+CallPtr Network::connect(std::uint32_t from, std::uint32_t to, Task connected,
+                         std::function<void(bool)> broken) {
+    auto call = std::make_shared<Call>();
+    call->from = from, call->to = to, call->number = ++numbers_;
+    call->from_epoch = machine(from).epoch;
+    call->on_broken = std::move(broken);
+    calls_[call->number] = call;
+    shake_hands(call, std::move(connected));
     return call;
 }
 
-void Network::pass(const CallPtr& call, bool forth, Task then) {
+void Network::send(const CallPtr& call, bool forth, Task at_other) {
+    if (!forth) return pass(call, false, std::move(at_other));
+    auto taken = std::make_shared<bool>(false);
+    pass(
+        call, true,
+        [call, what = std::move(at_other)] {
+            call->arrived = true;
+            what();
+        },
+        [taken] { *taken = true; });
+    time_.after(kDeadAfter, [this, call, taken] {
+        if (!*taken && !call->over) reset_by_kernel(call);
+    });
+}
+
+// The caller's own kernel gives the connection up: nothing has to come from the other end.
+void Network::reset_by_kernel(const CallPtr& call) {
+    in_process(call->from, call->from_epoch, [this, call] {
+        if (call->over) return;
+        finish(call);
+        call->on_broken(!call->connected);
+    });
+}
+
+void Network::reset_some(std::uint32_t ip, double share) {
+    std::vector<CallPtr> struck;
+    for (const auto& [number, call] : calls_)
+        if ((call->from == ip || call->to == ip) && random_.unit() < share) struck.push_back(call);
+    for (const CallPtr& call : struck) {
+        if (call->over) continue;
+        if (call->arrived && call->on_closed) in_process(call->to, call->to_epoch, call->on_closed);
+        reset_by_kernel(call);
+    }
+}
+
+void Network::pass(const CallPtr& call, bool forth, Task then, Task taken) {
     if (call->over) return;
     const std::uint32_t from = forth ? call->from : call->to, to = forth ? call->to : call->from;
-    time_.after(delay(), [this, call, forth, from, to, then = std::move(then)]() mutable {
-        if (call->over) return;
-        const auto at = machines_.find(to);
-        if (at == machines_.end() || !at->second.powered || !passes(from, to) || !machine(from).powered) {
-            if (machine(from).powered)
-                time_.after(kAgain, [this, call, forth, then = std::move(then)]() mutable {
-                    pass(call, forth, std::move(then));
-                });
-            return;
-        }
-        const std::uint64_t epoch = forth ? call->to_epoch : call->from_epoch;
-        if (!at->second.running || (epoch != 0 && epoch != at->second.epoch)) {
-            if (forth) reset(call);
-            return;
-        }
-        in_process(to, at->second.epoch, [call, then = std::move(then)] {
-            if (!call->over) then();
+    time_.after(
+        delay(), [this, call, forth, from, to, then = std::move(then), taken = std::move(taken)]() mutable {
+            if (call->over) return;
+            const auto at = machines_.find(to);
+            if (at == machines_.end() || !at->second.powered || !passes(from, to) || !machine(from).powered) {
+                if (machine(from).powered)
+                    time_.after(kAgain, [this, call, forth, then = std::move(then),
+                                         taken = std::move(taken)]() mutable {
+                        pass(call, forth, std::move(then), std::move(taken));
+                    });
+                return;
+            }
+            const std::uint64_t epoch = forth ? call->to_epoch : call->from_epoch;
+            if (!at->second.running || (epoch != 0 && epoch != at->second.epoch)) {
+                if (forth) reset(call);
+                return;
+            }
+            if (taken) taken();
+            in_process(to, at->second.epoch, [call, then = std::move(then)] {
+                if (!call->over) then();
+            });
         });
-    });
 }
 
 void Network::reset(const CallPtr& call) {
--- a/src/sim_mesh/network.hpp
+++ b/src/sim_mesh/network.hpp
@@ -28,6 +28,7 @@
     bool blocked() const { return frozen || busy; }
 };
 
+// A TCP connection from one process to another: for one exchange (call()) or for many (connect(), send()).
 struct Call {
     std::uint32_t from = 0, to = 0;
     std::uint64_t number = 0, from_epoch = 0, to_epoch = 0;
@@ -64,12 +65,21 @@
     CallPtr call(std::uint32_t from, std::uint32_t to, std::uint64_t epoch,
                  std::function<void(const CallPtr&)> arrive, std::function<void(bool)> broken);
     void reply(const CallPtr& call, Task at_caller);
+    // A connection for many messages; `connected` runs at the caller, `broken` there once it is reset.
+    CallPtr connect(std::uint32_t from, std::uint32_t to, Task connected, std::function<void(bool)> broken);
+    // A message over it, forth or back. Forth, what nobody's kernel takes for `kDeadAfter` resets the
+    // connection (TCP_USER_TIMEOUT).
+    void send(const CallPtr& call, bool forth, Task at_other);
     void close(const CallPtr& call);  // by the caller
-    double loss = 0;                  // of datagrams
+    // By a machine between the two, with both ends told: some of a machine's connections.
+    void reset_some(std::uint32_t ip, double share);
+    double loss = 0;  // of datagrams
 
 private:
-    void pass(const CallPtr& call, bool forth, Task then);
+    void pass(const CallPtr& call, bool forth, Task then, Task taken = {});
+    void shake_hands(const CallPtr& call, Task connected);
     void reset(const CallPtr& call);
+    void reset_by_kernel(const CallPtr& call);
     void finish(const CallPtr& call);
     void flush(Machine& machine);
     Millis delay() { return 0.3 + 2.5 * random_.unit(); }
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
+#include "routing/service_choice.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
 
 namespace {
-// As proxy/proxy_node.cpp and proxy/outbound.cpp.
-constexpr Millis kInboundOpenFor = 400, kListenFor = 2600, kLook = 20, kLastMoment = 250, kAnswerMargin = 8,
-                 kWarmWithin = 3000, kAvoidFor = 700, kRetryUnsettled = 200;
+// As proxy/proxy.cpp.
+constexpr Millis kInboundOpenFor = 400, kListenFor = 2600, kLook = 20, kLastMoment = 250;
 constexpr std::uint32_t kCapacityUnheard = 4;
 }  // namespace
 
@@ -17,8 +17,9 @@
     : Node(world, ip, registry::NodeRole::proxy),
       service_(std::move(service)),
       first_boot_(first_boot),
-      inbound_(*this, world),
-      confirmation_({}, world.time.now()) {
+      inbound_(*this, world, ip),
+      confirmation_({}, world.time.now()),
+      early_(world.time.now()) {
     started_at_ = world.time.now();
     begin();
     after(0, [this] { reconsider_configuration(); });
@@ -59,43 +60,25 @@
 
 void Proxy::list_servers() {
     listing_ = false;
-    std::map<std::string, std::vector<Pool::Host>> lists;
-    std::map<std::string, Millis> born;
-    ip_of_.clear();
-    std::erase_if(avoided_, [this](const auto& one) { return one.second <= now(); });
-    Millis look_again = 0;
-    for (const registry::Entry& entry : gossip().registry().entries()) {
-        const registry::NodeRecord node = registry::Registry::handed_on(now(), entry);
-        if (node.role != registry::NodeRole::proxy || !node.server || node.server->life.empty() ||
-            entry.standing == registry::Standing::gone)
-            continue;
-        const registry::ServerRecord& server = *node.server;
-        const auto known = born_.find(server.life);
-        born[server.life] = known != born_.end()       ? known->second
-                            : server.warmup_left_s > 0 ? now() + server.warmup_left_s * 1000 - kWarmWithin
-                                                       : 0;
-        ip_of_[server.life] = node.ip;
-        const auto avoided = avoided_.find(server.life);
-        if (avoided != avoided_.end())
-            look_again = look_again == 0 ? avoided->second : std::min(look_again, avoided->second);
-        const bool on = node.ready && !node.leaving && !server.closing &&
-                        entry.standing == registry::Standing::alive && avoided == avoided_.end();
-        lists[server.service].push_back({server.life, node.ip, world_.zone_number(node.zone),
-                                         on ? kelplb::Phase::on : kelplb::Phase::fading, born[server.life],
-                                         std::max(1.0, static_cast<double>(server.capacity))});
+    const auto lists = directory_.list(now(), [this](const routing::ServerDirectory::Visitor& visit) {
+        for (const registry::Entry& entry : gossip().registry().entries())
+            if (entry.record.role == registry::NodeRole::proxy)
+                visit(registry::Registry::handed_on(now(), entry), entry.standing);
+    });
+    for (auto& [name, pool] : pools_) {
+        const auto at = lists.by_service.find(name);
+        pool->told(at == lists.by_service.end() ? std::vector<routing::ListedServer>() : at->second);
     }
-    born_ = std::move(born);
-    for (auto& [name, pool] : pools_) pool->told(lists[name]);
-    if (look_again > 0) world_.net.at(ip_, look_again + 0.001, [this] { registry_changed(); });
+    if (lists.again_at > 0) world_.net.at(ip_, lists.again_at + 0.001, [this] { registry_changed(); });
 }
 
 void Proxy::avoid(const std::string& life) {
-    avoided_[life] = now() + kAvoidFor;
+    directory_.avoid(now(), life);
     registry_changed();
 }
 
 void Proxy::newer(const std::string& life, config::Edition edition) {
-    if (const auto at = ip_of_.find(life); at != ip_of_.end()) hint(at->second, edition);
+    if (const auto ip = directory_.ip_of(life)) hint(*ip, edition);
 }
 
 void Proxy::hop_newer(config::Edition edition) {
@@ -118,6 +101,7 @@
                                           world_.zone_number(world_.net.machine(ip_).zone));
             registry_changed();
         }
+        if (first) take_early();
     }
     if (const auto node = confirmation_.next_to_ask(now(), hubs()))
         ask_current(*node, [this, node = *node](const config::CurrentAnswer& answer) {
@@ -160,44 +144,60 @@
 
 // ---- Requests --------------------------------------------------------------------------------------------
 
-const std::string& Proxy::choose(const config::Route& route) {
-    double total = 0;
-    for (const auto& share : route.split) total += share.weight;
-    double left = world_.unit() * total;
-    const std::string* chosen = &route.split.front().service;
-    for (const auto& share : route.split) {
-        if (share.weight <= 0) continue;
-        chosen = &share.service;
-        if (left < share.weight) break;
-        left -= share.weight;
+std::uint64_t Proxy::request(const RequestPtr& request, Pool::Answered done) {
+    const std::uint64_t number = next_++;
+    if (in_force_) {
+        pass_on(number, request, std::move(done));
+    } else if (early_.may_wait(now())) {
+        early_numbers_[number] = early_.add(now(), {number, request, std::move(done)});
+        world_.net.at(ip_, early_.until(), [this] { refuse_early(); });
+    } else {
+        tell_handled(*request);
+        done({503, {}, routing::kRetryUnsettled, false});
     }
-    return *chosen;
+    return number;
 }
 
-std::uint64_t Proxy::request(const RequestPtr& request, Pool::Answered done) {
-    const std::uint64_t number = next_++;
+void Proxy::tell_handled(const Request& request) {
     world_.rules.tell(
-        [&](Checker& c) { c.handled(ip_, world_.net.machine(ip_).epoch, *request, in_force_.get()); });
-    if (!in_force_) {
-        done({503, {}, kRetryUnsettled, false});
-        return number;
-    }
+        [&](Checker& c) { c.handled(ip_, world_.net.machine(ip_).epoch, request, in_force_.get()); });
+}
+
+void Proxy::pass_on(std::uint64_t number, const RequestPtr& request, Pool::Answered done) {
+    tell_handled(*request);
     const config::Route* route = in_force_->find(request->host, request->path);
-    if (!route) {
-        done({404, {}, 0, false});
-        return number;
+    if (!route) return done({404, {}, 0, false});
+    const Millis left = routing::time_left(*route, request->deadline - now(), 0);
+    Pool& pool = *pools_.at(routing::choose_service(*route, world_.unit()));
+    numbers_[number] = {&pool, 0};
+    const RequestId id = pool.arrived(request, *route, left, [this, number, done](const Answer& a) {
+        numbers_.erase(number);
+        done(a);
+    });
+    numbers_[number] = {&pool, id};  // the answer comes a turn later at the soonest
+}
+
+void Proxy::take_early() {
+    for (auto& early : early_.take()) {
+        early_numbers_.erase(early.request.number);
+        pass_on(early.request.number, early.request.request, std::move(early.request.done));
     }
-    const Millis left = std::min(request->deadline - now(), route->deadline_ms) - kAnswerMargin;
-    Pool& pool = *pools_.at(choose(*route));
-    numbers_[number] = {
-        &pool, pool.arrived(request, *route, std::max(0.0, left), [this, number, done](const Answer& a) {
-            numbers_.erase(number);
-            done(a);
-        })};
-    return number;
+}
+
+void Proxy::refuse_early() {
+    for (const auto& early : early_.take()) {
+        tell_handled(*early.request.request);
+        early.request.done({503, {}, routing::kRetryUnsettled, false});
+    }
+    early_numbers_.clear();
 }
 
 void Proxy::client_gone(std::uint64_t number) {
+    if (const auto early = early_numbers_.find(number); early != early_numbers_.end()) {
+        early_.remove(early->second);
+        early_numbers_.erase(early);
+        return;
+    }
     const auto at = numbers_.find(number);
     if (at == numbers_.end()) return;
     const auto [pool, id] = at->second;
--- a/src/sim_mesh/script.cpp
+++ b/src/sim_mesh/script.cpp
@@ -28,6 +28,7 @@
         {"close", {"for", "service"}},
         {"crash", {"for"}},
         {"lose", {"for", "share"}},
+        {"reset", {"share"}},
         {"release", {"each"}}};
     return all;
 }
--- a/src/sim_mesh/server.cpp
+++ b/src/sim_mesh/server.cpp
@@ -8,8 +8,10 @@
 namespace cobaltshift::simmesh {
 
 namespace {
-constexpr Millis kAckWithin = 1000, kSoon = 250, kAnyway = 5000, kLittleLonger = 500, kExtraAfter = 30;
-}
+constexpr Millis kAckWithin = 1000, kSoon = 250, kAnyway = 5000, kLittleLonger = 500, kExtraAfter = 30,
+                 kForgetsAfter = 300, kHop = 0.3;
+constexpr double kCloses = 0.02;  // now and then an answer says Connection: close
+}  // namespace
 
 Server::Server(World& world, Ip ip, std::string service, std::string life, const Settings& settings,
                bool warm)
@@ -73,36 +75,80 @@
 
 void Server::crash() {
     *alive_ = false;
-    for (auto& [number, job] : jobs_) {
-        Answered answer = std::move(job.answer);
-        world_.time.after(0.3, [answer] { answer({ServerAnswer::Kind::broken, {}}); });
-    }
+    hang_up();
+}
+
+Server::~Server() {
+    *alive_ = false;
+    hang_up();
+}
+
+void Server::hang_up() {
+    for (const auto& [number, connection] : connections_)
+        world_.time.after(kHop, [deliver = connection.deliver] { deliver({}); });
+    connections_.clear();
     jobs_.clear();
 }
 
-void Server::answered(Answered& to, ServerAnswer answer, Millis delay) {
-    world_.time.after(delay, [to, answer = std::move(answer)] { to(answer); });
+// ---- Connections -----------------------------------------------------------------------------------------
+
+Server::ConnectionNumber Server::connect(Deliver deliver) {
+    connections_[next_] = {std::move(deliver), world_.time.now()};
+    return next_++;
+}
+
+void Server::disconnect(ConnectionNumber connection) {
+    connections_.erase(connection);
+    // What has begun goes on, to the strict side: some servers drop it.
+    std::erase_if(jobs_, [connection](const auto& one) {
+        return one.second.connection == connection && !one.second.at_work;
+    });
+}
+
+void Server::disconnect_all() {
+    while (!connections_.empty()) disconnect(connections_.begin()->first);
 }
 
-std::uint64_t Server::take(const Run& run, const std::string& expected, Answered answer, Answered extra) {
+void Server::deliver(ConnectionNumber connection, ServerAnswer answer, Millis delay) {
+    after(delay, [this, connection, answer = std::move(answer)] {
+        const auto at = connections_.find(connection);
+        if (at == connections_.end()) return;
+        at->second.rests_since = world_.time.now();
+        at->second.deliver(answer);
+    });
+}
+
+void Server::reset(ConnectionNumber connection) {
+    after(kHop, [this, connection] {
+        const auto at = connections_.find(connection);
+        if (at == connections_.end()) return;
+        const Deliver to = at->second.deliver;
+        connections_.erase(at);
+        to({});
+    });
+}
+
+void Server::request(ConnectionNumber connection, const Run& run, const std::string& expected) {
+    using Kind = ServerAnswer::Kind;
+    const auto at = connections_.find(connection);
+    if (at == connections_.end()) return;
+    const bool forgotten =
+        loses_ == Loses::idle && world_.time.now() > at->second.rests_since + kForgetsAfter;
+    if (forgotten) return reset(connection);
     world_.rules.tell([&](Checker& c) {
         if (expected == life_ || expected.empty()) c.arrived(run);
     });
-    if (!expected.empty() && expected != life_) {
-        answered(answer, {ServerAnswer::Kind::wrong_life, run.id});
-        return 0;
-    }
-    if (world_.time.now() >= run.request->deadline || queue_.size() >= 2 * settings_.capacity) {
-        answered(answer, {ServerAnswer::Kind::turned_away, run.id});
-        return 0;
-    }
+    if (!expected.empty() && expected != life_) return deliver(connection, {Kind::wrong_life, run.id});
+    if (world_.time.now() >= run.request->deadline || queue_.size() >= 2 * settings_.capacity)
+        return deliver(connection, {Kind::turned_away, run.id});
     const std::uint64_t number = next_++;
-    jobs_[number] = {run, std::move(answer), std::move(extra)};
+    jobs_[number] = {run, connection, false};
     queue_.push_back(number);
     look();
-    return number;
 }
 
+// ---- Work ------------------------------------------------------------------------------------------------
+
 void Server::look() {
     while (working_ < settings_.capacity && !queue_.empty()) {
         const std::uint64_t number = queue_.front();
@@ -122,25 +168,23 @@
 }
 
 void Server::finish(std::uint64_t number) {
+    using Kind = ServerAnswer::Kind;
     const auto at = jobs_.find(number);
     --working_;
     if (at != jobs_.end()) {
-        Job job = std::move(at->second);
+        const Job job = std::move(at->second);
         jobs_.erase(at);
-        const bool lost = loses_ != Loses::nothing && world_.unit() < lost_share_;
-        const ServerAnswer whole{ServerAnswer::Kind::whole, job.run.id};
-        if (!lost || loses_ == Loses::extra) answered(job.answer, whole);
-        if (lost && loses_ == Loses::extra) answered(job.extra, whole, kExtraAfter);
-        if (lost && (loses_ == Loses::by_reset || loses_ == Loses::half))
-            answered(job.answer, {ServerAnswer::Kind::broken, job.run.id});
+        const Loses how = world_.unit() < lost_share_ ? loses_ : Loses::nothing;
+        const ServerAnswer whole{Kind::whole, job.run.id, closing_ || world_.unit() < kCloses};
+        if (how == Loses::by_reset || how == Loses::half) reset(job.connection);
+        if (how == Loses::fails) deliver(job.connection, {Kind::failed, job.run.id});
+        const bool comes =
+            how == Loses::nothing || how == Loses::extra || how == Loses::twice || how == Loses::idle;
+        if (comes) deliver(job.connection, whole);
+        if (how == Loses::extra) deliver(job.connection, whole, kExtraAfter);
+        if (how == Loses::twice) deliver(job.connection, whole);
     }
     look();
 }
 
-void Server::dropped(std::uint64_t number) {
-    const auto at = jobs_.find(number);
-    // What has begun goes on, to the strict side: some servers drop it.
-    if (at != jobs_.end() && !at->second.at_work) jobs_.erase(at);
-}
-
 }  // namespace cobaltshift::simmesh
--- a/src/sim_mesh/server.hpp
+++ b/src/sim_mesh/server.hpp
@@ -11,17 +11,18 @@
 
 class World;
 
+// What comes on a connection from a server.
 struct ServerAnswer {
     enum class Kind : std::uint8_t {
-        whole,
-        turned_away,
-        wrong_life,
-        failed,
-        broken,
-        refused,
-        none
-    } kind = Kind::none;
-    std::string id;  // that it bears
+        whole,        // a success, stamped
+        failed,       // 500, stamped
+        turned_away,  // 503 with Not-Run
+        wrong_life,   // 421
+        broken,       // a reset, an end, or bytes that are no answer
+    } kind = Kind::broken;
+    std::string id;     // that it bears
+    bool last = false;  // Connection: close
+    bool answers() const { return kind != Kind::broken; }
 };
 
 class Server {
@@ -35,18 +36,24 @@
         nothing,
         by_reset,
         by_silence,
-        half,
-        extra
-    };  // half: breaks off; extra: late copy
+        half,   // breaks off
+        extra,  // a second answer 30 ms later
+        twice,  // a second answer at once, behind the first
+        idle,   // forgets connections that rest: the next request on one is reset, run or not
+        fails   // 500
+    };
 
     Server(World& world, Ip ip, std::string service, std::string life, const Settings& settings, bool warm);
-    ~Server() { *alive_ = false; }
+    ~Server();
+    Server(const Server&) = delete;
 
-    // `answer` comes once or (an answer lost by silence) never; a copy that comes late goes to `extra`. The
-    // number withdraws it.
-    using Answered = std::function<void(const ServerAnswer&)>;
-    std::uint64_t take(const Run& run, const std::string& expected, Answered answer, Answered extra);
-    void dropped(std::uint64_t number);  // its connection has closed
+    // ---- Connections; `deliver` gets what comes on one, at the moment when it reaches the other kernel.
+    using Deliver = std::function<void(const ServerAnswer&)>;
+    using ConnectionNumber = std::uint64_t;
+    ConnectionNumber connect(Deliver deliver);
+    void disconnect(ConnectionNumber connection);  // by the other end
+    void disconnect_all();                         // the process at the other end has ended
+    void request(ConnectionNumber connection, const Run& run, const std::string& expected);
 
     void close();  // a planned end
     void crash();  // says nothing
@@ -62,14 +69,20 @@
 private:
     struct Job {
         Run run;
-        Answered answer, extra;
+        ConnectionNumber connection = 0;
         bool at_work = false;
     };
+    struct Connection {
+        Deliver deliver;
+        Millis rests_since = 0;
+    };
     void beat();
     void look();
     void begin(std::uint64_t number);
     void finish(std::uint64_t number);
-    void answered(Answered& to, ServerAnswer answer, Millis after = 0.3);
+    void deliver(ConnectionNumber connection, ServerAnswer answer, Millis after = 0.3);
+    void reset(ConnectionNumber connection);
+    void hang_up();
     void after(Millis delay, Task what);
     void end();
 
@@ -83,6 +96,7 @@
     Loses loses_ = Loses::nothing;
     double lost_share_ = 0;
     std::map<std::uint64_t, Job> jobs_;
+    std::map<ConnectionNumber, Connection> connections_;
     std::deque<std::uint64_t> queue_;
     std::size_t working_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/sim_mesh/world.cpp
+++ b/src/sim_mesh/world.cpp
@@ -92,6 +92,7 @@
     site.node.reset();
     if (site.hub) return;
     clients.process_ended(ip);
+    if (site.server) site.server->disconnect_all();
     if (power) crash_server(ip);
 }
 
