--- a/src/lab/control_world.cpp
+++ b/src/lab/control_world.cpp
@@ -1,11 +1,9 @@
 #include "lab/control_world.hpp"
 
 #include <algorithm>
-#include <atomic>
 #include <cstdio>
-#include <future>
-#include <thread>
 
+#include "lab/drawn_days.hpp"
 #include "sim_mesh/control_day.hpp"
 
 namespace cobaltshift::lab {
@@ -46,21 +44,10 @@
 };
 
 Sum play_days(std::uint64_t first, std::size_t count, const ControlSafeguards& safeguards) {
-    const std::size_t workers = std::max(1U, std::thread::hardware_concurrency());
-    std::atomic<std::size_t> next{0};
-    std::vector<std::future<Sum>> parts;
-    for (std::size_t w = 0; w < workers; ++w)
-        parts.push_back(std::async(std::launch::async, [&] {
-            Sum sum;
-            for (std::size_t i = next++; i < count; i = next++) {
-                const simmesh::ControlDay day = simmesh::drawn_control_day(first + i);
-                sum.add(day, simmesh::play_control_day(day, safeguards));
-            }
-            return sum;
-        }));
-    Sum all;
-    for (auto& part : parts) all.add(part.get());
-    return all;
+    return sum_of_days<Sum>(count, [&](Sum& sum, std::size_t i) {
+        const simmesh::ControlDay day = simmesh::drawn_control_day(first + i);
+        sum.add(day, simmesh::play_control_day(day, safeguards));
+    });
 }
 
 }  // namespace
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -16,6 +16,7 @@
 #include "lab/lease_fleet.hpp"
 #include "lab/load_command.hpp"
 #include "lab/report.hpp"
+#include "lab/request_world.hpp"
 #include "lab/scenario.hpp"
 #include "lab/sim_world.hpp"
 
@@ -107,6 +108,8 @@
     replayed->add_option("SEED", again.seed, "of a drawn day");
     bool control_day = false;
     replayed->add_flag("--control", control_day, "the seed is of a day of the control plane");
+    bool request_day = false;
+    replayed->add_flag("--requests", request_day, "the seed is of a day of the data plane");
     replayed->add_flag("--lease", again.lease, "the seed is of a day of keepers and holders");
     replayed->add_option("--case", again.file, "plays the case in this file instead");
     replayed->add_flag("--all", again.all, "prints all that happens");
@@ -190,6 +193,7 @@
         if (scripted->parsed()) return cost_script(requests);
         if (compared->parsed()) return compare(before, after, std::cout, std::cerr);
         if (replayed->parsed() && control_day) return replay_control_day(again.seed);
+        if (replayed->parsed() && request_day) return replay_request_day(again.seed);
         if (replayed->parsed()) return replay(again);
         if (serve->parsed()) return up(servers, forwarders, run.seed);
         for (const Scenario& scenario : scenarios())
--- a/src/lab/scenarios.cpp
+++ b/src/lab/scenarios.cpp
@@ -6,6 +6,7 @@
 #include "lab/leases.hpp"
 #include "lab/planners.hpp"
 #include "lab/probing.hpp"
+#include "lab/request_world.hpp"
 #include "lab/scenario.hpp"
 #include "lab/sim_world.hpp"
 #include "lab/sites.hpp"
@@ -20,6 +21,10 @@
         {"control-world",
          "1,000 (quick) or 20,000 days of the control plane: cuts, races, losses, many changes; linearizable",
          control_world},
+        {"request-world",
+         "1,000 (quick) or 20,000 days of requests: answers lost, doubled and late, resets, cuts; no rule "
+         "broken",
+         request_world},
         {"leases", "keepers and holders as processes, links and machines failing: no two ever act at once",
          leases},
         {"lease-cost", "rights and entries a second, syncs, CPU, time without a leader, on processes",
--- a/src/sim_mesh/clients.cpp
+++ b/src/sim_mesh/clients.cpp
@@ -9,21 +9,23 @@
 
 namespace {
 constexpr Millis kDeadline = 2500, kPause = 60, kUnreadFor = 1000, kHop = 0.3, kPoll = 1000;
+constexpr Millis kLeaveFrom = 30, kLeaveWithin = 700;  // of those who leave early
 constexpr unsigned kMostTries = 4;
 }  // namespace
 
-void Clients::traffic(double plain, double registered, Millis from, Millis to) {
-    for (const bool once : {false, true}) {
-        const double rate = once ? registered : plain;
-        if (rate > 0) world_.time.at(from, [this, rate, once, to] { next(rate, once, to); });
+void Clients::traffic(const Traffic& traffic, Millis begin) {
+    for (const bool registered : {false, true}) {
+        const double rate = registered ? traffic.registered : traffic.plain;
+        const Stream stream{rate, registered, begin + traffic.to, traffic.leave};
+        if (rate > 0) world_.time.at(begin + traffic.from, [this, stream] { next(stream); });
     }
 }
 
-void Clients::next(double rate, bool registered, Millis to) {
-    if (world_.time.now() >= to) return;
-    start(registered);
-    world_.time.after(-std::log(1 - world_.unit()) * 1000 / rate,
-                      [this, rate, registered, to] { next(rate, registered, to); });
+void Clients::next(const Stream& stream) {
+    if (world_.time.now() >= stream.to) return;
+    start(stream);
+    const Millis pause = -std::log(1 - world_.unit()) * 1000 / stream.rate;
+    world_.time.after(pause, [this, stream] { next(stream); });
 }
 
 // GET /api/ready once a second of each; two failures take it out.
@@ -40,7 +42,7 @@
     world_.time.after(kPoll, [this] { poll(); });
 }
 
-void Clients::start(bool registered) {
+void Clients::start(const Stream& stream) {
     std::map<std::string, std::pair<std::size_t, std::size_t>> zones;  // in, all
     for (const auto& [ip, platform] : platform_) {
         auto& [in, all] = zones[world_.net.machine(ip).zone];
@@ -57,10 +59,12 @@
     const auto service =
         static_cast<std::size_t>(world_.unit() * static_cast<double>(world_.fleet().services));
     Request request;
-    request.path = (registered ? "/r" : "/p") + std::to_string(service) + "/x";
-    request.registered = registered;
+    request.path = (stream.registered ? "/r" : "/p") + std::to_string(service) + "/x";
+    request.registered = stream.registered;
     request.origin = ip;
     request.deadline = world_.time.now() + kDeadline;
+    if (stream.leave > 0 && world_.unit() < stream.leave)
+        request.leaves = world_.time.now() + kLeaveFrom + kLeaveWithin * world_.unit();
     ++sent_;
     send(std::make_shared<Request>(request), 1);
 }
@@ -94,15 +98,17 @@
             const auto at = open_.find(id);
             if (at != open_.end() && !at->second.read) answered(id, {0, {}, 0, true});
         });
-    world_.time.at(request->deadline, [this, id] { give_up(id); });
+    if (request->leaves > 0) world_.time.at(request->leaves, [this, id] { give_up(id, false); });
+    world_.time.at(request->deadline, [this, id] { give_up(id, true); });
 }
 
-void Clients::give_up(const std::string& id) {
+void Clients::give_up(const std::string& id, bool at_deadline) {
     const auto at = open_.find(id);
     if (at == open_.end()) return;
     const Try one = at->second;
     open_.erase(at);
     ++statuses_[0];
+    world_.rules.tell([&](Checker& c) { c.gave_up(*one.request, one.read, at_deadline); });
     const Machine& machine = world_.net.machine(one.request->origin);
     if (!one.read || !machine.running) return;
     world_.net.in_process(machine.ip, machine.epoch, [this, ip = machine.ip, number = one.number] {
--- a/src/sim_mesh/clients.hpp
+++ b/src/sim_mesh/clients.hpp
@@ -6,6 +6,7 @@
 #include <map>
 
 #include "sim_mesh/rules.hpp"
+#include "sim_mesh/script.hpp"
 
 namespace cobaltshift::simmesh {
 
@@ -14,8 +15,8 @@
 class Clients {
 public:
     explicit Clients(World& world) : world_(world) { poll(); }
-    // A second, from and to in ms.
-    void traffic(double plain, double registered, Millis from, Millis to);
+    // Its times count from `begin`.
+    void traffic(const Traffic& traffic, Millis begin);
     void process_ended(Ip ip);  // of a proxy: its connections close
     double sent() const { return sent_; }
     double served() const { return served_; }
@@ -33,11 +34,17 @@
         bool in = true;
     };
     void poll();
-    void next(double rate, bool registered, Millis to);
-    void start(bool registered);
+    struct Stream {       // of requests of one kind
+        double rate = 0;  // a second
+        bool registered = false;
+        Millis to = 0;
+        double leave = 0;
+    };
+    void next(const Stream& stream);
+    void start(const Stream& stream);
     void send(std::shared_ptr<const Request> request, unsigned tries);
     void answered(const std::string& id, const Answer& answer);
-    void give_up(const std::string& id);
+    void give_up(const std::string& id, bool at_deadline);
 
     World& world_;
     std::map<std::string, Try> open_;
--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -12,9 +12,7 @@
 class Director {
 public:
     Director(World& world, const Scenario& scenario) : world_(world), scenario_(scenario) {
-        for (const Traffic& traffic : scenario.traffic)
-            world.clients.traffic(traffic.plain, traffic.registered, kBegin + traffic.from,
-                                  kBegin + traffic.to);
+        for (const Traffic& traffic : scenario.traffic) world.clients.traffic(traffic, kBegin);
         for (const Timed& timed : scenario.events)
             world.time.at(kBegin + timed.at, [this, &timed] {
                 if (timed.on_ack)
@@ -66,6 +64,7 @@
             return world_.operators.resend(static_cast<std::uint64_t>(c.number("edition", 0)));
         if (verb == "loss") return loss(std::stod(c.words.at(0)), lasts);
         for (const Ip ip : targets(c)) {
+            world_.strike(verb.c_str());
             if (verb == "kill" || verb == "power" || verb == "wipe") down(c, ip, lasts);
             if (verb == "freeze") freeze(ip, lasts);
             if (verb == "replace") replace(ip);
@@ -223,7 +222,8 @@
     }
     void reset(const Command& c, Ip ip) {
         world_.trouble(ip, true);
-        world_.net.reset_some(ip, c.number("share", 0.5));
+        for (std::size_t i = world_.net.reset_some(ip, c.number("share", 0.5)); i > 0; --i)
+            world_.strike("connection reset");
         world_.trouble(ip, false);
     }
     void release(const Command& c) {
@@ -259,6 +259,7 @@
     outcome.events = world.time.events();
     outcome.virtual_ms = back;
     outcome.statuses = world.clients.statuses();
+    outcome.struck = world.struck();
     return outcome;
 }
 
--- a/src/sim_mesh/facts.hpp
+++ b/src/sim_mesh/facts.hpp
@@ -1,4 +1,4 @@
-// What the parties of the world say to one another, the bounds of a site, and the proxies that a test may
+// What the parties of the world say to one another, the bounds of a site, and the safeguards that a test may
 // take out.
 #pragma once
 
@@ -37,6 +37,8 @@
     bool fetches = true;               // news of a configuration is followed
     bool checks_changes = true;        // a hub judges a change
     bool confirms_at_start = true;     // a proxy that starts asks which configuration is current
+    bool deadline_kept = true;         // a request is given up in time for its client
+    bool withdrawn_when_gone = true;   // what waits for a client that has left goes nowhere
     bool hears_beats = true;           // a proxy that comes back finds its server again
 };
 
@@ -46,6 +48,7 @@
     bool registered = false;
     Ip origin = 0;  // machine
     Millis sent = 0, deadline = 0;
+    Millis leaves = 0;  // its client, long before the deadline; 0: it does not
 };
 using RequestPtr = std::shared_ptr<const Request>;
 
--- a/src/sim_mesh/network.cpp
+++ b/src/sim_mesh/network.cpp
@@ -154,7 +154,7 @@
     });
 }
 
-void Network::reset_some(std::uint32_t ip, double share) {
+std::size_t Network::reset_some(std::uint32_t ip, double share) {
     std::vector<CallPtr> struck;
     for (const auto& [number, call] : calls_)
         if ((call->from == ip || call->to == ip) && random_.unit() < share) struck.push_back(call);
@@ -163,6 +163,7 @@
         if (call->arrived && call->on_closed) in_process(call->to, call->to_epoch, call->on_closed);
         reset_by_kernel(call);
     }
+    return struck.size();
 }
 
 void Network::pass(const CallPtr& call, bool forth, Task then, Task taken) {
--- a/src/sim_mesh/network.hpp
+++ b/src/sim_mesh/network.hpp
@@ -71,8 +71,8 @@
     // connection (TCP_USER_TIMEOUT).
     void send(const CallPtr& call, bool forth, Task at_other);
     void close(const CallPtr& call);  // by the caller
-    // By a machine between the two, with both ends told: some of a machine's connections.
-    void reset_some(std::uint32_t ip, double share);
+    // By a machine between the two, with both ends told: some of a machine's connections; how many.
+    std::size_t reset_some(std::uint32_t ip, double share);
     double loss = 0;  // of datagrams
 
 private:
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -10,6 +10,7 @@
 namespace {
 // As proxy/proxy.cpp.
 constexpr Millis kInboundOpenFor = 400, kListenFor = 2600, kLook = 20, kLastMoment = 250;
+constexpr Millis kDeadlineForgotten = 3000;  // with that safeguard out
 constexpr std::uint32_t kCapacityUnheard = 4;
 }  // namespace
 
@@ -167,7 +168,8 @@
     tell_handled(*request);
     const config::Route* route = in_force_->find(request->host, request->path);
     if (!route) return done({404, {}, 0, false});
-    const Millis left = routing::time_left(*route, request->deadline - now(), 0);
+    const Millis late = world_.safeguards.deadline_kept ? 0 : kDeadlineForgotten;
+    const Millis left = routing::time_left(*route, request->deadline - now(), 0) + late;
     Pool& pool = *pools_.at(routing::choose_service(*route, world_.unit()));
     numbers_[number] = {&pool, 0};
     const RequestId id = pool.arrived(request, *route, left, [this, number, done](const Answer& a) {
@@ -201,6 +203,7 @@
     const auto at = numbers_.find(number);
     if (at == numbers_.end()) return;
     const auto [pool, id] = at->second;
+    if (!world_.safeguards.withdrawn_when_gone) return;
     numbers_.erase(at);
     pool->client_gone(id);
 }
--- a/src/sim_mesh/rules.cpp
+++ b/src/sim_mesh/rules.cpp
@@ -184,6 +184,30 @@
     std::set<std::string> seen_;
 };
 
+// After a client has left, nothing of its own reaches a server half a second later.
+struct Gone : Checker {
+    using Checker::Checker;
+    static constexpr Millis kWithin = 500;
+    void gave_up(const Request& r, bool, bool) override { left_[r.id] = rules_.time.now(); }
+    void arrived(const Run& run) override {
+        const auto at = left_.find(run.id);
+        if (at == left_.end() || rules_.time.now() <= at->second + kWithin) return;
+        if (rules_.touch.in_touch(rules_.time.now(), run.by) &&
+            rules_.touch.in_touch(rules_.time.now(), run.server))
+            rules_.accuse("GONE", run.id + " reached " + run.life + " after its client had left");
+    }
+    std::map<std::string, Millis> left_;
+};
+
+// A request that was read gets its answer before its client's deadline, however its servers fare.
+struct Held : Checker {
+    using Checker::Checker;
+    void gave_up(const Request& r, bool read, bool at_deadline) override {
+        if (read && at_deadline && rules_.touch.in_touch(rules_.time.now(), r.origin))
+            rules_.accuse("HELD", r.id + " had no answer at its deadline");
+    }
+};
+
 struct Recover : Checker {
     using Checker::Checker;
     void sent(const Request& r) override { all_.emplace(r.id, r.sent); }
@@ -237,6 +261,8 @@
     add(std::type_identity<Drain>());
     add(std::type_identity<Config>());
     add(std::type_identity<Budget>());
+    add(std::type_identity<Gone>());
+    add(std::type_identity<Held>());
     add(std::type_identity<Recover>());
 }
 
--- a/src/sim_mesh/rules.hpp
+++ b/src/sim_mesh/rules.hpp
@@ -60,6 +60,7 @@
     virtual void arrived(const Run&) {}  // at a server, whatever it does with it
     virtual void ran(const Run&) {}
     virtual void answered(const Request&, const Answer&) {}
+    virtual void gave_up(const Request&, bool /*read*/, bool /*at its deadline*/) {}  // its client
     // A proxy that began at `started` goes by this configuration first, and does not say that it is
     // unconfirmed.
     virtual void started_with(config::Edition, Millis /*started*/) {}
--- a/src/sim_mesh/script.cpp
+++ b/src/sim_mesh/script.cpp
@@ -108,9 +108,9 @@
                 if (key == "slack") f.slack = value;
             }
         } else if (first == "traffic") {
-            auto all = pairs(in, {"plain", "registered", "from", "to"});
+            auto all = pairs(in, {"plain", "registered", "from", "to", "leave"});
             scenario_.traffic.push_back(
-                {all["plain"], all["registered"], all["from"] * 1000, all["to"] * 1000});
+                {all["plain"], all["registered"], all["from"] * 1000, all["to"] * 1000, all["leave"]});
         } else if (first == "at") {
             std::string time;
             in >> time;
--- a/src/sim_mesh/script.hpp
+++ b/src/sim_mesh/script.hpp
@@ -3,12 +3,10 @@
 //
 //   # what it is about
 //   fleet proxies=9 hubs=3 zones=3 services=2 seed=7     also capacity, work (ms), end, slack
-//   traffic plain=40 registered=20 from=8 to=40         a second; as many lines as wanted
-//   at 10 put edition=12; cut leader for=5              several at once
-//   at 10 on_ack wipe leader; power others for=1        with the next acknowledgement from then on
-//   every 0.3 from=10 to=20 put
-//   must served >= 0.7
-//   must rules
+//   traffic plain=40 registered=20 from=8 to=40         a second; leave=SHARE of them early; as many lines as
+//   wanted at 10 put edition=12; cut leader for=5              several at once at 10 on_ack wipe leader;
+//   power others for=1        with the next acknowledgement from then on every 0.3 from=10 to=20 put must
+//   served >= 0.7 must rules
 #pragma once
 
 #include <map>
@@ -50,6 +48,7 @@
 struct Traffic {
     double plain = 0, registered = 0;
     Millis from = 0, to = 0;
+    double leave = 0;  // share of the clients that leave long before their deadline
 };
 
 struct Scenario {
--- a/src/sim_mesh/server.cpp
+++ b/src/sim_mesh/server.cpp
@@ -11,6 +11,28 @@
 constexpr Millis kAckWithin = 1000, kSoon = 250, kAnyway = 5000, kLittleLonger = 500, kExtraAfter = 30,
                  kForgetsAfter = 300, kHop = 0.3;
 constexpr double kCloses = 0.02;  // now and then an answer says Connection: close
+
+const char* name_of(Server::Loses how) {
+    switch (how) {
+        case Server::Loses::nothing:
+            return "answer as it is";
+        case Server::Loses::by_reset:
+            return "answer lost by a reset";
+        case Server::Loses::by_silence:
+            return "answer lost by silence";
+        case Server::Loses::half:
+            return "answer broken off";
+        case Server::Loses::extra:
+            return "second answer, late";
+        case Server::Loses::twice:
+            return "second answer, at once";
+        case Server::Loses::idle:
+            return "connections forgotten";
+        case Server::Loses::fails:
+            return "server error";
+    }
+    return "";
+}
 }  // namespace
 
 Server::Server(World& world, Ip ip, std::string service, std::string life, const Settings& settings,
@@ -44,8 +66,9 @@
         world_.time.after(0.3, [this, alive = alive_, closing, seq, acknowledged, epoch = machine.epoch] {
             if (!*alive) return;
             world_.net.in_process(ip_, epoch, [this, alive = alive_, closing, seq, acknowledged] {
+                if (!*alive) return;  // a frozen machine holds what is for it longer than a server lives
                 auto* proxy = dynamic_cast<Proxy*>(world_.node(ip_));
-                if (!*alive || !proxy || !proxy->beat(*this, closing, seq)) return;
+                if (!proxy || !proxy->beat(*this, closing, seq)) return;
                 world_.time.after(0.3, [this, alive, closing, acknowledged] {
                     if (!*alive) return;
                     *acknowledged = true;
@@ -134,7 +157,10 @@
     if (at == connections_.end()) return;
     const bool forgotten =
         loses_ == Loses::idle && world_.time.now() > at->second.rests_since + kForgetsAfter;
-    if (forgotten) return reset(connection);
+    if (forgotten) {
+        world_.strike("connection forgotten");
+        return reset(connection);
+    }
     world_.rules.tell([&](Checker& c) {
         if (expected == life_ || expected.empty()) c.arrived(run);
     });
@@ -178,6 +204,7 @@
         const ServerAnswer whole{Kind::whole, job.run.id, closing_ || world_.unit() < kCloses};
         if (how == Loses::by_reset || how == Loses::half) reset(job.connection);
         if (how == Loses::fails) deliver(job.connection, {Kind::failed, job.run.id});
+        if (how != Loses::nothing && how != Loses::idle) world_.strike(name_of(how));
         const bool comes =
             how == Loses::nothing || how == Loses::extra || how == Loses::twice || how == Loses::idle;
         if (comes) deliver(job.connection, whole);
--- a/src/sim_mesh/world.hpp
+++ b/src/sim_mesh/world.hpp
@@ -20,6 +20,7 @@
     std::uint64_t events = 0;
     Millis virtual_ms = 0;
     std::map<unsigned, std::uint64_t> statuses;
+    std::map<std::string, std::uint64_t> struck;  // what truly struck, by its name
     double share() const { return sent == 0 ? 1 : served / sent; }
 };
 
@@ -47,6 +48,8 @@
     Clients clients;
     Operators operators;
 
+    void strike(const char* what) { ++struck_[what]; }  // counted: a day that nothing struck proves nothing
+    const std::map<std::string, std::uint64_t>& struck() const { return struck_; }
     const Fleet& fleet() const { return fleet_; }
     const std::vector<Ip>& seeds() const { return seeds_; }
     std::uint64_t draw() { return 1 + static_cast<std::uint64_t>(random_.unit() * 0x1p52); }
@@ -85,6 +88,7 @@
     };
     Ip add(bool hub, std::size_t number);
 
+    std::map<std::string, std::uint64_t> struck_;
     std::map<Ip, Site> sites_;
     std::vector<Ip> seeds_;
     std::uint64_t lives_ = 0;
--- a/tests/mesh/checkers_test.cpp
+++ b/tests/mesh/checkers_test.cpp
@@ -100,3 +100,14 @@
     check_red("RECOVER", kTraffic + "traffic plain=10 from=24 to=40\nat 10 kill proxies for=1",
               &Safeguards::hears_beats);
 }
+
+TEST_CASE("HELD: a request is held past its client's deadline") {
+    check_red("HELD", kTraffic + "at 8 lose service 0 silence share=0.5 for=8", &Safeguards::deadline_kept);
+}
+
+TEST_CASE("GONE: what waits for a client that has left still goes to a server") {
+    const std::string crowd =
+        "fleet proxies=4 hubs=3 zones=1 services=2 seed=3 capacity=2 work=150\nat 1 put\n"
+        "traffic plain=30 registered=40 from=4 to=14 leave=0.5\n";
+    check_red("GONE", crowd, &Safeguards::withdrawn_when_gone);
+}
