--- a/src/proxy/hop.cpp
+++ b/src/proxy/hop.cpp
@@ -86,6 +86,12 @@
     return Failure{Execution::not_run, *reason};
 }
 
+bool answers_another(const HttpRequest& request, const HttpResponse& response) {
+    const auto asked = request[kRequestId], answered = response[kRequestId];
+    return hop::answers_another({asked.data(), asked.size()}, {answered.data(), answered.size()},
+                                response.result_int());
+}
+
 HttpResponse refusal(const NotRun&, double retry_in_ms) {
     HttpResponse response(http::status::service_unavailable, 11);
     if (retry_in_ms > 0) response.set(http::field::retry_after, seconds_text(retry_in_ms));
--- a/src/proxy/hop.hpp
+++ b/src/proxy/hop.hpp
@@ -39,6 +39,9 @@
 // What another proxy's answer says; none: it is the server's.
 std::optional<Failure> read_failure(const HttpResponse& response);
 
+// Whether a server's answer belongs to another request than `request` (hop::answers_another).
+bool answers_another(const HttpRequest& request, const HttpResponse& response);
+
 // A refusal to a client: only with proof that the request has not run.
 HttpResponse refusal(const NotRun& proof, double retry_in_ms);
 // A failure that promises nothing.
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -23,11 +23,7 @@
     m.judge = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
-    m.stray = [](const HttpRequest& request, const HttpResponse& response) {
-        const auto asked = request[kRequestId], answered = response[kRequestId];
-        return hop::answers_another({asked.data(), asked.size()}, {answered.data(), answered.size()},
-                                    response.result_int());
-    };
+    m.stray = answers_another;
     m.body_bytes = kMostBody;
     m.heeds_keep_alive = true;
     return m;
--- a/src/proxy/mesh_dialect.cpp
+++ b/src/proxy/mesh_dialect.cpp
@@ -24,6 +24,11 @@
     m.judge = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
+    // Once more, at the caller: whatever went wrong at the proxy beside the server, its answer goes to no
+    // other.
+    m.stray = [](const HttpRequest& request, const HttpResponse& response) {
+        return response[kVerdict] == "ran" && answers_another(request, response);
+    };
     m.body_bytes = kMostAnswer;
     return m;
 }
--- a/src/sim_mesh/hop_connections.cpp
+++ b/src/sim_mesh/hop_connections.cpp
@@ -2,6 +2,7 @@
 
 #include <cmath>
 
+#include "hop/server_answer.hpp"
 #include "sim_mesh/world.hpp"
 
 namespace cobaltshift::simmesh {
@@ -58,6 +59,11 @@
     if (connection.channel.call) world_.net.close(connection.channel.call);
 }
 
+bool HopConnections::is_stray(const Connection& connection, const HopAnswer& answer) const {
+    return world_.safeguards.ids_compared && !answer.failure &&
+           hop::answers_another(connection.job->request->id, answer.answer.id, answer.answer.status);
+}
+
 Outcome HopConnections::judge(const HopAnswer& answer) const {
     return !answer.failure && answer.answer.status / 100 == 2 ? Outcome::completed : Outcome::errored;
 }
--- a/src/sim_mesh/hop_connections.hpp
+++ b/src/sim_mesh/hop_connections.hpp
@@ -54,7 +54,7 @@
     void set_timer(const ConnectionPtr& connection, Millis at);
     void cancel_timer(Connection& connection) { connection.channel.timer = 0; }
     void close(Connection& connection);
-    bool is_stray(const Connection&, const HopAnswer&) const { return false; }  // one answer a request
+    bool is_stray(const Connection& connection, const HopAnswer& answer) const;
     kelplb::Outcome judge(const HopAnswer& answer) const;
     Millis kept_for(const HopAnswer&) const { return 0; }
     void attempt_ended(AttemptKey key, kelplb::Outcome outcome, HopAnswer* answer) {
--- a/tests/mesh/proxy_io_test.cpp
+++ b/tests/mesh/proxy_io_test.cpp
@@ -132,6 +132,15 @@
         for (auto& side : sides_) all += side->app.seen().size();
         return all;
     }
+    // From now on what is for the proxy beside server `i` goes to another address.
+    void stand_in(std::size_t i, const FakeServer& proxy) {
+        const std::string to = proxy.at();
+        run([&] {
+            records_.at(i).traffic_port = static_cast<std::uint16_t>(std::stoi(to.substr(to.rfind(':') + 1)));
+            outbound_->registry_changed();
+        });
+        run([] {});  // servers are listed a turn later
+    }
     tcp::endpoint at;
 
 private:
@@ -253,6 +262,24 @@
     CHECK(mesh.seen() == 5);
 }
 
+// The caller's own look, whatever the proxy beside the server mixed up.
+TEST_CASE("proxy: another request's answer from another proxy goes to nobody") {
+    Mesh mesh({serve});
+    FakeServer proxy([](Wire& wire, const HttpRequest& request, int number) {
+        const std::string stamp = "Mesh-Verdict: ran\r\nPostmark: 3e1b\r\n";
+        wire.respond(200, "other", stamp + "Request-Id: 9c41d0-before\r\n");
+        const std::string own = "Request-Id: " + std::string(request[kRequestId]) + "\r\n";
+        return number == 0 ? (wire.respond(200, "fine", stamp + own), true) : false;
+    });
+    mesh.stand_in(0, proxy);
+    Caller caller(mesh.at);
+    const HttpResponse first = caller.ask(a_request("/registered/x"));
+    CHECK(first.result_int() == 200);
+    CHECK(first.body() == "fine");
+    CHECK(caller.ask(a_request("/registered/x")).result_int() == 502);  // it may have run
+    CHECK(proxy.seen().size() == 2);
+}
+
 TEST_CASE("proxy: bytes after a whole answer belong to no request") {
     Mesh mesh({[](Wire& wire, const HttpRequest& request, int) {
         wire.write("HTTP/1.1 200 OK\r\n" + stamped(request) +
