--- a/src/lab/request_world.cpp
+++ b/src/lab/request_world.cpp
@@ -22,6 +22,7 @@
     std::size_t days = 0, broken = 0;
     double sent = 0, served = 0;
     std::map<std::string, std::uint64_t> struck, rules;
+    std::map<std::string, double> margins;
     std::vector<std::string> findings;
 
     void add(const RequestDay& day, const Played& played) {
@@ -29,6 +30,7 @@
         sent += played.sent;
         served += played.served;
         for (const auto& [name, count] : played.struck) struck[name] += count;
+        for (const auto& [name, used] : played.margins) margins[name] = std::max(margins[name], used);
         if (played.findings.empty()) return;
         ++broken;
         const simmesh::Finding& first = played.findings.front();
@@ -43,6 +45,7 @@
         served += other.served;
         for (const auto& [name, count] : other.struck) struck[name] += count;
         for (const auto& [name, count] : other.rules) rules[name] += count;
+        for (const auto& [name, used] : other.margins) margins[name] = std::max(margins[name], used);
         findings.insert(findings.end(), other.findings.begin(), other.findings.end());
     }
 };
@@ -79,11 +82,15 @@
     for (const std::string& finding : sum.findings) result.note(finding);
     result.at_most("days with a broken rule", static_cast<double>(sum.broken), 0);
     for (const auto& [name, count] : sum.struck) result.note(name + ": " + std::to_string(count));
+    for (const auto& [name, used] : sum.margins) {
+        result.figure("of its bound: " + name, used);
+        result.note("of its bound: " + name + ": " + shown(used, 2));
+    }
     const double least = static_cast<double>(sum.days) * kLeastADay;
     for (const char* what :
          {"answer lost by a reset", "answer lost by silence", "answer broken off", "second answer, late",
           "second answer, at once", "server error", "connection forgotten", "connection reset", "cut", "kill",
-          "freeze", "power", "crash", "close"}) {
+          "freeze", "power", "crash", "close", "sigterm"}) {
         const auto at = sum.struck.find(what);
         result.at_least(std::string("struck: ") + what,
                         at == sum.struck.end() ? 0 : static_cast<double>(at->second), least);
--- a/src/sim_mesh/clients.cpp
+++ b/src/sim_mesh/clients.cpp
@@ -116,6 +116,13 @@
     });
 }
 
+std::vector<std::string> Clients::unanswered_at(Ip ip) const {
+    std::vector<std::string> ids;
+    for (const auto& [id, one] : open_)
+        if (one.request->origin == ip && one.read) ids.push_back(id);
+    return ids;
+}
+
 void Clients::process_ended(Ip ip) {
     for (const auto& [id, one] : open_)
         if (one.request->origin == ip)
--- a/src/sim_mesh/clients.hpp
+++ b/src/sim_mesh/clients.hpp
@@ -4,6 +4,8 @@
 #pragma once
 
 #include <map>
+#include <string>
+#include <vector>
 
 #include "sim_mesh/rules.hpp"
 #include "sim_mesh/script.hpp"
@@ -18,6 +20,8 @@
     // Its times count from `begin`.
     void traffic(const Traffic& traffic, Millis begin);
     void process_ended(Ip ip);  // of a proxy: its connections close
+    // Read by the proxy of this machine, and not answered yet.
+    std::vector<std::string> unanswered_at(Ip ip) const;
     double sent() const { return sent_; }
     double served() const { return served_; }
     const std::map<unsigned, std::uint64_t>& statuses() const { return statuses_; }
--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -175,7 +175,8 @@
         world_.trouble(ip, true);
         const std::uint64_t epoch = world_.net.machine(ip).epoch;
         world_.net.in_process(ip, epoch, [this, proxy, ip, lasts, epoch, service] {
-            proxy->stop([this, ip, lasts, epoch, service] {
+            proxy->stop([this, ip, lasts, epoch, service, since = world_.time.now()] {
+                ended_after_sigterm(ip, world_.time.now() - since);
                 if (world_.net.machine(ip).epoch == epoch && world_.node(ip)) world_.end(ip, false);
                 after(lasts, [this, ip, service] {
                     if (world_.node(ip)) world_.end(ip, false);  // a kill between had it started again
@@ -187,6 +188,13 @@
             });
         });
     }
+    // LOST: what was read is answered first, unless its servers take more than half of the grace time.
+    void ended_after_sigterm(Ip ip, Millis took) {
+        world_.rules.used("SIGTERM to the end", took / world_.bounds.grace);
+        if (took >= world_.bounds.grace / 2) return;
+        for (const std::string& id : world_.clients.unanswered_at(ip))
+            world_.rules.accuse("LOST", id + " was read and not answered when its proxy ended");
+    }
     // A planned end; then another life, `for` seconds later, or another service at this address.
     void close(const Command& c, Ip ip, double lasts) {
         Server* server = world_.server(ip);
@@ -260,6 +268,7 @@
     outcome.virtual_ms = back;
     outcome.statuses = world.clients.statuses();
     outcome.struck = world.struck();
+    outcome.margins = world.rules.margins();
     return outcome;
 }
 
--- a/src/sim_mesh/facts.hpp
+++ b/src/sim_mesh/facts.hpp
@@ -39,6 +39,7 @@
     bool confirms_at_start = true;     // a proxy that starts asks which configuration is current
     bool deadline_kept = true;         // a request is given up in time for its client
     bool withdrawn_when_gone = true;   // what waits for a client that has left goes nowhere
+    bool answers_before_end = true;    // a proxy that ends in order answers what it has read
     bool hears_beats = true;           // a proxy that comes back finds its server again
 };
 
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -218,10 +218,13 @@
     after(kListenFor, [this, stop_at, done] { wind_down(stop_at, done); });
 }
 
+bool Proxy::holds_requests() const {
+    return inbound_.busy() || std::any_of(pools_.begin(), pools_.end(),
+                                          [](const auto& one) { return one.second->unanswered() > 0; });
+}
+
 void Proxy::wind_down(Millis stop_at, const Task& done) {
-    const bool held = inbound_.busy() || std::any_of(pools_.begin(), pools_.end(), [](const auto& one) {
-                          return one.second->unanswered() > 0;
-                      });
+    const bool held = holds_requests() && world_.safeguards.answers_before_end;
     if (!held || now() >= stop_at) {
         world_.time.after(0, done);
         return;
--- a/src/sim_mesh/proxy.hpp
+++ b/src/sim_mesh/proxy.hpp
@@ -38,6 +38,7 @@
     void took() override;
     void list_servers();
     void reconsider_configuration();
+    bool holds_requests() const;
     void wind_down(Millis stop_at, const Task& done);
     void pass_on(std::uint64_t number, const RequestPtr& request, Pool::Answered done);
     void tell_handled(const Request& request);  // to the checkers
--- a/src/sim_mesh/request_day.cpp
+++ b/src/sim_mesh/request_day.cpp
@@ -85,7 +85,7 @@
                draw_.one_of({"", " one_way=in", " one_way=out"});
     }
     std::string machines() {
-        return std::string(draw_.one_of({"kill", "freeze", "freeze", "power"})) + " " + proxy() +
+        return std::string(draw_.one_of({"kill", "freeze", "freeze", "power", "sigterm"})) + " " + proxy() +
                option("for", draw_.between(0.2, 4));
     }
     std::string servers() {
--- a/src/sim_mesh/rules.cpp
+++ b/src/sim_mesh/rules.cpp
@@ -87,10 +87,12 @@
     }
     void arrived(const Run& run) override {
         const auto at = since_.find(run.life);
-        if (at == since_.end() || rules_.time.now() <= at->second + rules_.bounds.drain) return;
+        const Millis now = rules_.time.now();
+        if (at == since_.end()) return;
         // Sent on by machines in touch: its taker and, as it is the last to hold it, the one at the server.
-        if (rules_.touch.in_touch(rules_.time.now(), run.by) &&
-            rules_.touch.in_touch(rules_.time.now(), run.server))
+        if (!rules_.touch.in_touch(now, run.by) || !rules_.touch.in_touch(now, run.server)) return;
+        rules_.used("`closing` to the last arrival", (now - at->second) / rules_.bounds.drain);
+        if (now > at->second + rules_.bounds.drain)
             rules_.accuse("DRAIN", run.id + " reached " + run.life + " after its drain");
     }
     std::map<std::string, Millis> since_;
@@ -124,12 +126,15 @@
             if (never_.count(mark)) rules_.accuse("CONFIG", mark + " was refused and is in force");
         }
         if (!rules_.touch.in_touch(rules_.time.now(), ip)) return;
-        for (const auto& [at, acked] : acks_)
-            if (r.sent > at + rules_.bounds.apply && acked > edition) {
+        for (const auto& [at, acked] : acks_) {
+            if (r.sent <= at || acked <= edition) continue;
+            rules_.used("acknowledged to in force everywhere", (r.sent - at) / rules_.bounds.apply);
+            if (r.sent > at + rules_.bounds.apply) {
                 rules_.accuse("CONFIG", "r" + std::to_string(edition) + " is in force where r" +
                                             std::to_string(acked) + " was acknowledged");
                 break;
             }
+        }
     }
     void started_with(config::Edition edition, Millis started) override {
         for (const auto& [at, acked] : acks_)
@@ -173,6 +178,7 @@
                 const double base =
                     std::max({count(sent, from), count(sent, from - window), count(sent, from - window / 2)});
                 const double most = rules_.bounds.retry_ratio * base + rules_.bounds.retry_slack;
+                rules_.used("further tries in a window", count(times, from) / most);
                 if (count(times, from) > most)
                     return rules_.accuse("BUDGET", service + " got " + std::to_string(count(times, from)) +
                                                        " further tries in a window, " + std::to_string(most) +
@@ -191,9 +197,11 @@
     void gave_up(const Request& r, bool, bool) override { left_[r.id] = rules_.time.now(); }
     void arrived(const Run& run) override {
         const auto at = left_.find(run.id);
-        if (at == left_.end() || rules_.time.now() <= at->second + kWithin) return;
-        if (rules_.touch.in_touch(rules_.time.now(), run.by) &&
-            rules_.touch.in_touch(rules_.time.now(), run.server))
+        const Millis now = rules_.time.now();
+        if (at == left_.end()) return;
+        if (!rules_.touch.in_touch(now, run.by) || !rules_.touch.in_touch(now, run.server)) return;
+        rules_.used("client gone to the last arrival", (now - at->second) / kWithin);
+        if (now > at->second + kWithin)
             rules_.accuse("GONE", run.id + " reached " + run.life + " after its client had left");
     }
     std::map<std::string, Millis> left_;
--- a/src/sim_mesh/rules.hpp
+++ b/src/sim_mesh/rules.hpp
@@ -7,6 +7,7 @@
 // needed).
 #pragma once
 
+#include <algorithm>
 #include <map>
 #include <memory>
 #include <set>
@@ -80,6 +81,8 @@
 public:
     Rules(const Timeline& time, const Bounds& bounds);
     void accuse(const std::string& rule, const std::string& what);
+    // How much of a bound was used, so that what holds by luck is seen; the worst is kept.
+    void used(const std::string& bound, double share) { margins_[bound] = std::max(margins_[bound], share); }
     template <class What>
     void tell(What what) {
         for (const auto& checker : checkers_) what(*checker);
@@ -90,10 +93,12 @@
     Millis traffic_end = 0;
     bool closing_fault = false;  // power or a disk was lost
     const std::vector<Finding>& findings() const { return findings_; }
+    const std::map<std::string, double>& margins() const { return margins_; }
 
 private:
     std::vector<std::unique_ptr<Checker>> checkers_;
     std::vector<Finding> findings_;
+    std::map<std::string, double> margins_;
 };
 
 }  // namespace cobaltshift::simmesh
--- a/src/sim_mesh/world.hpp
+++ b/src/sim_mesh/world.hpp
@@ -21,6 +21,7 @@
     Millis virtual_ms = 0;
     std::map<unsigned, std::uint64_t> statuses;
     std::map<std::string, std::uint64_t> struck;  // what truly struck, by its name
+    std::map<std::string, double> margins;        // the worst of each timed promise, as a share of its bound
     double share() const { return sent == 0 ? 1 : served / sent; }
 };
 
--- a/tests/mesh/checkers_test.cpp
+++ b/tests/mesh/checkers_test.cpp
@@ -111,3 +111,10 @@
         "traffic plain=30 registered=40 from=4 to=14 leave=0.5\n";
     check_red("GONE", crowd, &Safeguards::withdrawn_when_gone);
 }
+
+TEST_CASE("LOST: a proxy that ends in order does not wait for what it has read") {
+    const std::string text =
+        "fleet proxies=6 hubs=3 zones=3 services=2 seed=3 work=600\nat 1 put\n"
+        "traffic plain=30 registered=30 from=4 to=24\nevery 4 from=8 to=22 sigterm proxy 2 for=1\n";
+    check_red("LOST", text, &Safeguards::answers_before_end);
+}
