--- a/src/sim_mesh/clients.hpp
+++ b/src/sim_mesh/clients.hpp
@@ -20,7 +20,7 @@
     // Its times count from `begin`.
     void traffic(const Traffic& traffic, Millis begin);
     void process_ended(Ip ip);  // of a proxy: its connections close
-    // Read by the proxy of this machine, and not answered yet.
+    // Read by the proxy of this machine, and not answered by it yet.
     std::vector<std::string> unanswered_at(Ip ip) const;
     double sent() const { return sent_; }
     double served() const { return served_; }
@@ -31,6 +31,7 @@
         RequestPtr request;
         unsigned tries = 1;
         bool read = false;
+        bool on_its_way = false;  // the proxy has answered
         std::uint64_t number = 0;  // at the proxy
     };
     struct Platform {
--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -223,6 +223,8 @@
                           : how == "idle"    ? Server::Loses::idle
                           : how == "fails"   ? Server::Loses::fails
                                              : throw ScriptError(c.where + ": loses what?");
+        Millis& ill_until = world_.rules.servers_ill_until;
+        ill_until = std::max(ill_until, world_.time.now() + lasts * 1000);
         if (Server* server = world_.server(ip)) server->lose(kind, c.number("share", 0.3));
         after(lasts, [this, ip] {
             if (Server* server = world_.server(ip)) server->lose(Server::Loses::nothing, 0);
--- a/src/sim_mesh/rules.hpp
+++ b/src/sim_mesh/rules.hpp
@@ -90,6 +90,7 @@
     const Timeline& time;
     const Bounds& bounds;
     Touch touch;
+    Millis servers_ill_until = 0;  // no trouble of the system's own, but what it is served with
     Millis traffic_end = 0;
     bool closing_fault = false;  // power or a disk was lost
     const std::vector<Finding>& findings() const { return findings_; }
