--- a/src/sim_mesh/director.cpp
+++ b/src/sim_mesh/director.cpp
@@ -180,7 +180,10 @@
                 if (world_.net.machine(ip).epoch == epoch && world_.node(ip)) world_.end(ip, false);
                 after(lasts, [this, ip, service] {
                     if (world_.node(ip)) world_.end(ip, false);  // a kill between had it started again
-                    if (!service.empty()) world_.set_service(ip, service);
+                    if (!service.empty()) {
+                        world_.crash_server(ip);  // one that was started here meanwhile
+                        world_.set_service(ip, service);
+                    }
                     world_.start(ip, true);
                     world_.start_server(ip, false);
                     world_.trouble(ip, false);
