--- a/src/sim_mesh/clients.hpp
+++ b/src/sim_mesh/clients.hpp
@@ -31,7 +31,7 @@
         RequestPtr request;
         unsigned tries = 1;
         bool read = false;
-        bool on_its_way = false;  // the proxy has answered
+        bool on_its_way = false;   // the proxy has answered
         std::uint64_t number = 0;  // at the proxy
     };
     struct Platform {
