--- a/src/caller/caller.hpp
+++ b/src/caller/caller.hpp
@@ -93,7 +93,8 @@
             events_.pop_front();
             actions_.clear();
             balancer_.handle(surroundings_.now(), event, actions_);
-            for (const Action& action : actions_) std::visit([this](const auto& a) { carry_out(a); }, action);
+            for (const Action& action : actions_)
+                std::visit([this](const auto& what) { this->carry_out(what); }, action);
             if (const auto* ended = std::get_if<AttemptEnded>(&event)) drop_request(ended->id);
         }
         arm();
@@ -148,7 +149,7 @@
         for (const auto& [id, server] : servers_)
             if (!server.listed || server.phase != Phase::on) closed.push_back(id);
         for (const ServerId id : closed) surroundings_.withdraw_server(id);
-        const std::vector<ServerInfo> listed = event.servers;
+        std::vector<ServerInfo> listed = event.servers;
         push(std::move(event));
         for (const ServerId id : closed) drop_server(id);
         return listed;
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -56,7 +56,7 @@
 void Inbound::leave() { requests_.leave(clock_.now()); }
 
 void Inbound::ask_health(const std::string& path, std::uint32_t capacity,
-                         std::function<void(const std::string&)> well) {
+                         const std::function<void(const std::string&)>& well) {
     struct Asking {
         explicit Asking(asio::io_context& io) : stream(io) {}
         beast::tcp_stream stream;
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -33,7 +33,7 @@
     void gone(const std::string& life);
     // Asks the server's health once, for its life, where no beat has come in this life of ours.
     void ask_health(const std::string& path, std::uint32_t capacity,
-                    std::function<void(const std::string& life)> well);
+                    const std::function<void(const std::string& life)>& well);
     void leave();
     const admission::Admission& admission() const { return requests_.admission(); }
     bool busy() const { return requests_.busy(); }
--- a/src/proxy/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -12,7 +12,6 @@
 namespace cobaltshift::proxy {
 
 using config::Route;
-using config::RouteKind;
 
 namespace {
 constexpr Millis kConnectWithin = 400, kIdleClose = 9000, kDeadAfter = 2500;
--- a/src/sim_mesh/node.cpp
+++ b/src/sim_mesh/node.cpp
@@ -186,7 +186,7 @@
     const config::Edition before = edition();
     if (got) hold(std::move(got));
     if (edition() != before)
-        took();
+        on_new_configuration();
     else if (answered)
         sources_.erase(from);  // until it is hinted again
     std::erase_if(sources_, [this](const auto& one) { return one.second.edition <= edition(); });
--- a/src/sim_mesh/node.hpp
+++ b/src/sim_mesh/node.hpp
@@ -39,7 +39,7 @@
     Millis now() const;
     virtual void registry_changed() {}
     virtual void heard_of(Ip, config::Edition) {}
-    virtual void took() {}
+    virtual void on_new_configuration() {}
 
     World& world_;
     const Ip ip_;
--- a/src/sim_mesh/pool.cpp
+++ b/src/sim_mesh/pool.cpp
@@ -49,6 +49,7 @@
 
 void Pool::told(const std::vector<routing::ListedServer>& servers) {
     std::vector<Host> hosts;
+    hosts.reserve(servers.size());
     for (const routing::ListedServer& server : servers)
         hosts.push_back({server.life, server.ip, server.zone, 0, server.phase, server.born, server.units});
     caller_.told(ListKind::full, true, hosts);
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -119,7 +119,7 @@
     });
 }
 
-void Proxy::took() {
+void Proxy::on_new_configuration() {
     reconsider_configuration();
     tell([this](registry::NodeRecord& own) { own.config_edition = edition(); });
     if (first_boot_ || asked_health_ || !inbound_.admission().life().empty() ||
--- a/src/sim_mesh/proxy.hpp
+++ b/src/sim_mesh/proxy.hpp
@@ -35,7 +35,7 @@
 private:
     void registry_changed() override;
     void heard_of(Ip ip, config::Edition edition) override { hint(ip, edition); }
-    void took() override;
+    void on_new_configuration() override;
     void list_servers();
     void reconsider_configuration();
     bool holds_requests() const;
--- a/src/sim_mesh/request_day.cpp
+++ b/src/sim_mesh/request_day.cpp
@@ -150,8 +150,8 @@
     day.fixed.push_back("traffic" + option("plain", rate * (1 - registered)) +
                         option("registered", rate * registered) + option("from", kTrafficFrom) +
                         option("to", kTrafficTo) + option("leave", draw.below(2) == 0 ? 0 : 0.2));
-    day.fixed.push_back("at 1 put");
-    day.fixed.push_back("must rules");
+    day.fixed.emplace_back("at 1 put");
+    day.fixed.emplace_back("must rules");
     Troubles troubles(draw, proxies, servers_of_smaller_service(proxies, zones) - 1);
     const std::size_t count = kLeastTroubles + draw.below(kMoreTroubles + 1);
     for (std::size_t i = 0; i < count; ++i) day.troubles.push_back(troubles.line());
