--- a/src/sim_mesh/hop_connections.cpp
+++ b/src/sim_mesh/hop_connections.cpp
@@ -23,9 +23,12 @@
 }
 
 void HopConnections::connect(const ConnectionPtr& connection) {
+    const std::weak_ptr<Connection> weak = connection;  // it holds its call
     connection->channel.call = world_.net.connect(
         ip_, connection->to, [this, connection] { pool_.connected(connection, true); },
-        [this, connection](bool) { broken(connection); });
+        [this, weak](bool) {
+            if (const ConnectionPtr at = weak.lock()) broken(at);
+        });
 }
 
 void HopConnections::broken(const ConnectionPtr& connection) {
