--- a/src/lab/planner_children.cpp
+++ b/src/lab/planner_children.cpp
@@ -50,7 +50,7 @@
     for (const auto& child : children_)
         if (child) child->signal(SIGTERM);
     for (const auto& child : children_)
-        if (child) worst = std::max(worst, child->wait());
+        if (child) worst = std::max(worst, child->wait_and_tell("a planner"));
     return worst;
 }
 
