--- a/src/lab/planner_children.cpp
+++ b/src/lab/planner_children.cpp
@@ -37,6 +37,7 @@
     if (p > 0) text += "state_folder = \"" + folder_.path() + "/state" + std::to_string(p) + "\"\n";
     const std::string file = folder_.write("planner" + std::to_string(p) + ".toml", text);
     Child::Command command{beside("cobaltshift"), {"planner", "--settings", file}, {}};
+    children_[p].reset();  // one that runs ends first: two can't listen at one address
     children_[p] = std::make_unique<Child>(io_, command, nullptr);
 }
 
