--- a/src/fleet_view.hpp
+++ b/src/fleet_view.hpp
@@ -1,12 +1,13 @@
-// What other sidecars have out at each server, as they last said, and the messages that say it. It only
-// narrows or orders what the balancer would do by itself. Free of I/O, time is passed in.
+// The outstanding and failed attempts of other sidecars at each server, as reported by them, and the codec
+// of the reports. They only order or narrow the balancer's own choices. No I/O; time is passed in.
 //
-// A message: kTag, the tenants' rates a byte each (as many as there are tenants), then for each server with
-// something out the lower half of its id and the number, three bytes; the number that failed there of late
-// goes under the id with all bits turned, which says nothing to those who don't know of it. Lost ones leave
-// the last in force until it is too old. Any that don't fit this form are dropped whole.
-// Where that is shorter, as it is for a light sidecar with one attempt at each of its servers, the tag is
-// kTagEach and each attempt is its server's two bytes: what telling costs grows with the square of the fleet.
+// A report: kCountTag; the request rate of each tenant, one byte each; then for each server with something
+// to report the lower half of its id, big-endian, and the number of outstanding attempts, three bytes. The
+// number of recent failures has an entry of its own under the id with all bits inverted, which is of no
+// effect at sidecars whose version doesn't know it. Where that is shorter, as for a low-traffic sidecar with
+// one attempt at each of its servers, the tag is kListTag and each attempt is an entry of its server's two
+// bytes: the cost of the reports grows with the square of the number of sidecars. A malformed report is
+// dropped as a whole. If reports are lost, the last one stays in force until it expires.
 #pragma once
 
 #include <cstdint>
@@ -22,38 +23,40 @@
 
 class FleetView {
 public:
-    static constexpr std::uint8_t kTag = 0xF1, kTagEach = 0xF2;
-    static constexpr std::size_t kLongest = 256;  // of a datagram between sidecars
+    static constexpr std::uint8_t kCountTag = 0xF1, kListTag = 0xF2;
+    static constexpr std::size_t kMaxReportBytes = 256;  // of a datagram between sidecars
 
-    struct Out {
+    struct ServerCount {
         ServerId server = 0;
-        int out = 0;
-        int failed = 0;  // of late
+        int outstanding = 0;
+        int failed = 0;  // recently
     };
-    // The servers with most out first, as many as fit.
-    static std::vector<std::uint8_t> say(Millis now, const Shares& shares, std::vector<Out> out);
-    // Whether the bytes were such a message.
-    bool hear(Millis now, std::uint32_t from, const std::vector<std::uint8_t>& bytes, Shares& shares);
-    // Forgets what was said too long ago; to be called as time goes on, before asking.
-    void pass(Millis now);
-    // Attempts out at the server from others. One look-up, however many others there are.
-    int elsewhere(ServerId server) const { return sum(brief(server)); }
-    // What others have seen fail there of late.
-    int failed(ServerId server) const { return sum(turned(server)); }
+    // Encodes a report; the servers with the most attempts come first, as many as fit.
+    static std::vector<std::uint8_t> encode(Millis now, const Shares& shares,
+                                            std::vector<ServerCount> counts);
+    // Replaces the last report of `from` and passes its rates to `shares`. False: the bytes are no report;
+    // then nothing has changed.
+    bool receive(Millis now, std::uint32_t from, const std::vector<std::uint8_t>& bytes, Shares& shares);
+    // Removes expired reports. To be called as time goes on, before the queries below.
+    void expire(Millis now);
+    // Other sidecars' outstanding attempts at the server: one look-up, whatever the number of sidecars.
+    int outstanding_elsewhere(ServerId server) const { return sum(short_id(server)); }
+    // Other sidecars' recent failures there.
+    int failed_elsewhere(ServerId server) const { return sum(inverted_id(server)); }
 
 private:
-    struct Said {
+    struct Report {
         Millis at = 0;
-        std::vector<std::pair<std::uint16_t, int>> out;
+        std::vector<std::pair<std::uint16_t, int>> entries;
     };
-    static std::uint16_t brief(ServerId id) { return static_cast<std::uint16_t>(id); }
-    static std::uint16_t turned(ServerId id) { return static_cast<std::uint16_t>(~id); }
+    static std::uint16_t short_id(ServerId id) { return static_cast<std::uint16_t>(id); }
+    static std::uint16_t inverted_id(ServerId id) { return static_cast<std::uint16_t>(~id); }
     int sum(std::uint16_t id) const;
-    void take_back(Said& said);
+    void remove_from_sums(Report& report);
 
-    std::map<std::uint32_t, Said> peers_;
+    std::map<std::uint32_t, Report> peers_;
     std::unordered_map<std::uint16_t, int> sums_;  // over peers_; no entry is 0
-    Millis oldest_ = 0;                            // no peer's word is older
+    Millis oldest_ = 0;                            // no report is older
 };
 
 }  // namespace kelplb
--- a/src/module.hpp
+++ b/src/module.hpp
@@ -1,4 +1,4 @@
-// The decision module as the rest of the program uses it: its names without their namespace.
+// Makes the names of the decision module (namespace kelplb) visible in the rest of the program.
 #pragma once
 
 #include "kelplb/balancer.hpp"
--- a/src/names.hpp
+++ b/src/names.hpp
@@ -1,5 +1,5 @@
-// Numbers for names. A server's number is the same at every sidecar, which peers need to understand one
-// another.
+// Server ids derived from server names. Every sidecar gets the same id for a name, so that ids have a
+// meaning in messages between sidecars.
 #pragma once
 
 #include <string_view>
@@ -8,8 +8,8 @@
 
 namespace cobaltshift {
 
-// FNV-1a of the name. `taken(id)` tells whether another server has that number already: the next free one is
-// used then, and peers mean another server by it, which costs a tie.
+// FNV-1a hash of the name. `taken(id)` tells whether another server of this sidecar has the id already. The
+// next free one is used then; peers take it for another server, which costs no more than a wrong tie-break.
 template <class Taken>
 ServerId server_number(std::string_view name, Taken taken) {
     ServerId id = 2166136261u;
--- a/src/random.hpp
+++ b/src/random.hpp
@@ -1,4 +1,5 @@
-// SplitMix64: the same numbers with every standard library, so that a seed and events give the same actions.
+// SplitMix64: the same numbers with every standard library, so that the same seed and events give the same
+// actions. Not for cryptography; not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -10,6 +11,7 @@
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
     double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }  // in [0, 1)
+    // In [0, n); 0 if n is 0.
     std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
 
 private:
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -1,11 +1,11 @@
-// Whether settings make sense. Nothing here decides anything about a request.
+// Validation of kelplb::Settings.
 #pragma once
 
 #include "kelplb/balancer.hpp"
 
 namespace kelplb {
 
-// Throws std::invalid_argument naming the first setting that makes no sense.
+// Throws std::invalid_argument naming the first setting that is out of range, infinite or not a number.
 void validate(const Settings& settings);
 
 }  // namespace kelplb
--- a/src/shares.hpp
+++ b/src/shares.hpp
@@ -1,9 +1,10 @@
-// Tenants' shares: which requests are within what all sidecars together owe their tenant. It decides nothing
-// about a server; the balancer asks it once for each request. Free of I/O, time is passed in.
+// Tenant quotas: whether a request is within the part of its tenant's quota that falls to this sidecar. This
+// decides nothing about servers; the balancer asks once for each request. No I/O; time is passed in.
 //
-// Every sidecar sees only its own part of a tenant's requests. It tells the others how many a second come to
-// it, hears the same of them, and grants its own part of the quota from a bucket. Lost messages leave the
-// last figure in force until it is too old; with none at all the quota is split evenly.
+// Each sidecar sees only a part of a tenant's requests. The sidecars send one another their request rates
+// for each tenant, and each grants a part of the quota in proportion to its own rate, through a token
+// bucket. If messages are lost, the last rate received stays in force until it expires; without any rates
+// the quota is split evenly. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -16,37 +17,40 @@
 
 class Shares {
 public:
-    Shares(std::vector<Tenant> tenants, std::uint32_t siblings);
+    Shares(std::vector<Tenant> tenants, std::uint32_t sidecar_count);
 
-    // Books one request; true: within the tenant's share, or the tenant has no quota.
-    bool within(Millis now, std::uint32_t tenant);
+    // Counts one request. True: within this sidecar's part of the quota, or the tenant has none or is
+    // unknown.
+    bool admit(Millis now, std::uint32_t tenant);
 
     std::size_t tenants() const { return tenants_.size(); }
-    // Requests a second of one tenant here, of late.
+    // Smoothed rate of the tenant's requests at this sidecar, per second. Throws std::out_of_range.
     double rate(Millis now, std::uint32_t tenant) const;
-    // The same at another sidecar. Nonsense (negative, not finite) is passed over.
-    void heard(Millis now, std::uint32_t from, std::uint32_t tenant, double rate);
+    // The same rate at the sidecar `from`. Unknown tenants and sidecars, and negative or infinite rates, are
+    // ignored.
+    void receive(Millis now, std::uint32_t from, std::uint32_t tenant, double rate);
 
-    // Requests a second that make one step of what is told, and the most that a byte can say.
-    static std::uint8_t pack(double rate);
-    static double unpack(std::uint8_t byte);
+    // A rate per second as a byte on a logarithmic scale, in steps of a tenth; 0: below 0.1. Rounding is
+    // within a twentieth; rates above the scale become 255.
+    static std::uint8_t encode_rate(double rate);
+    static double decode_rate(std::uint8_t byte);
 
 private:
-    struct Heard {
+    struct PeerRate {
         double rate = 0;
         Millis at = 0;
     };
-    struct Own {
+    struct TenantState {
         Tenant tenant;
-        double weight = 0;  // requests, decayed
-        double level = 0;   // of the bucket, in requests
-        Millis at = -1;     // of both
-        std::map<std::uint32_t, Heard> others;
+        double count = 0;   // requests, decayed
+        double tokens = 0;  // in the bucket, one for each request
+        Millis at = -1;     // of the last update of both
+        std::map<std::uint32_t, PeerRate> peers;
     };
-    double part(Millis now, const Own& own) const;
+    double own_part(Millis now, const TenantState& state) const;
 
-    std::vector<Own> tenants_;
-    std::uint32_t siblings_;
+    std::vector<TenantState> tenants_;
+    std::uint32_t sidecar_count_;
 };
 
 }  // namespace kelplb
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,5 @@
-// The mechanism, one behaviour a test: each fails when the behaviour it names is taken out of the module.
+// The balancer's mechanisms, one behaviour per test: each test fails if the behaviour is removed from the
+// module.
 #include <cmath>
 #include <stdexcept>
 
@@ -7,54 +8,56 @@
 namespace kelplb::test {
 namespace {
 
-// A rig with `count` warm servers and one long-lived class.
-Rig pool(ServerId count, std::uint64_t seed = 1, Effect effect = Effect::once) {
+// `count` warm servers and one class of requests.
+Rig make_pool(ServerId count, std::uint64_t seed = 1, Effect effect = Effect::once) {
     Rig rig(make_settings({make_class(effect)}), seed);
-    rig.list(ListKind::full, make_servers(count));
+    rig.apply_list(ListKind::full, make_servers(count));
     return rig;
 }
 
-// One request after another; those that meet `bad` end as `outcome`, the others are served.
-int play(Rig& rig, int requests, const std::set<ServerId>& bad, Outcome outcome, Millis gap = 10) {
-    int met = 0;
+// Sends requests one after another: those at `bad` servers end with `outcome`, the others complete. Returns
+// the number at bad servers.
+int run_requests(Rig& rig, int requests, const std::set<ServerId>& bad, Outcome outcome, Millis gap = 10) {
+    int sent_to_bad = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
-        if (!rig.out(id)) continue;
-        const bool failing = bad.count(rig.where(id)) > 0;
-        met += failing;
+        if (!rig.outstanding(id)) continue;
+        const bool failing = bad.count(rig.server_of(id)) > 0;
+        sent_to_bad += failing;
         rig.end(id, failing ? outcome : Outcome::completed, gap);
     }
-    return met;
+    return sent_to_bad;
 }
 
-TEST(Verdict, AServerThatFailsLeavesThePoolAndStaysOutForTheBackoff) {
-    Rig rig = pool(4);
-    EXPECT_GT(play(rig, 120, {1}, Outcome::errored), 0);
+TEST(OutlierEjection, FailingServerIsRemovedForTheBackoff) {
+    Rig rig = make_pool(4);
+    EXPECT_GT(run_requests(rig, 120, {1}, Outcome::errored), 0);
     EXPECT_EQ(rig.removals(), 1);
-    EXPECT_EQ(play(rig, 120, {1}, Outcome::errored), 0) << "within the backoff nothing goes to it";
+    EXPECT_EQ(run_requests(rig, 120, {1}, Outcome::errored), 0) << "nothing is sent to it within the backoff";
 }
 
-TEST(Verdict, TwoFailuresInTwentyAreBorneAndThreeAreNot) {
+TEST(OutlierEjection, ThreeFailuresInTwentyRemoveAndTwoDoNot) {
     for (const int failures : {2, 3}) {
-        Rig rig = pool(4);
-        play(rig, 400, {}, Outcome::completed);  // full windows of successes
-        int left = failures;
-        while (left > 0) {
+        Rig rig = make_pool(4);
+        run_requests(rig, 400, {}, Outcome::completed);  // full windows of successes
+        int failures_left = failures;
+        while (failures_left > 0) {
             const RequestId id = rig.request();
-            const bool fail = rig.where(id) == 1;
+            const bool fail = rig.server_of(id) == 1;
             rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
-            left -= fail;
+            failures_left -= fail;
         }
         EXPECT_EQ(rig.removals(), failures == 3 ? 1 : 0) << failures;
     }
 }
 
-TEST(Verdict, OldOutcomesLeaveTheWindow) {
-    Rig rig = pool(4);
+TEST(OutlierEjection, OldOutcomesLeaveTheWindow) {
+    Rig rig = make_pool(4);
     int failed = 0;
     for (int i = 0, on_one = 0; i < 3000; ++i) {
         const RequestId id = rig.request();
-        const bool fail = rig.where(id) == 1 && on_one++ % 15 == 0;  // never three within twenty
+        const bool fail =
+            rig.server_of(id) == 1 && on_one++ % 15 == 0;  // at most two failures in any 20 outcomes
         failed += fail;
         rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
     }
@@ -62,160 +65,160 @@
     EXPECT_EQ(rig.removals(), 0);
 }
 
-TEST(Verdict, AnswersPastTheirAimCountAsFailures) {
-    Rig rig = pool(8);
+TEST(OutlierEjection, LateAnswersCountAsFailures) {
+    Rig rig = make_pool(8);
     for (int round = 0; round < 20 && rig.removals() == 0; ++round) {
         const auto ids = rig.burst(32, 5000);  // several to each server at once
         rig.now += 10;
         for (const RequestId id : ids)
-            if (rig.out(id) && rig.where(id) != 1) rig.end(id, Outcome::completed, 0);
+            if (rig.outstanding(id) && rig.server_of(id) != 1) rig.end(id, Outcome::completed, 0);
         rig.now += 690;
         for (const RequestId id : ids)
-            if (rig.out(id)) rig.end(id, Outcome::completed, 0);
+            if (rig.outstanding(id)) rig.end(id, Outcome::completed, 0);
     }
     EXPECT_EQ(rig.removals(), 1);
-    EXPECT_NE(rig.where(rig.request()), 1U);
+    EXPECT_NE(rig.server_of(rig.request()), 1U);
 }
 
-TEST(Verdict, SharedFailureRemovesNobody) {
-    Rig rig = pool(6);
+TEST(OutlierEjection, FailuresAtAllServersRemoveNone) {
+    Rig rig = make_pool(6);
     for (int i = 0; i < 600; ++i) {
         const RequestId id = rig.request();
-        if (rig.out(id)) rig.end(id, i % 3 ? Outcome::completed : Outcome::errored, 10);
+        if (rig.outstanding(id)) rig.end(id, i % 3 ? Outcome::completed : Outcome::errored, 10);
     }
-    EXPECT_EQ(rig.removals(), 0) << "every third request fails everywhere: that tells nothing of a server";
+    EXPECT_EQ(rig.removals(), 0) << "every third request fails at every server: no server stands out";
 }
 
-TEST(Verdict, PanicThresholdKeepsHalfOfThePool) {
-    Rig rig = pool(6);
-    for (ServerId bad = 1; bad <= 5; ++bad) {  // one after the other, so that each stands out
-        play(rig, 60, {bad}, Outcome::errored);
+TEST(OutlierEjection, PanicThresholdKeepsHalfOfThePool) {
+    Rig rig = make_pool(6);
+    for (ServerId bad = 1; bad <= 5; ++bad) {  // one after the other, so that each is the only failing one
+        run_requests(rig, 60, {bad}, Outcome::errored);
         EXPECT_EQ(rig.removals(), std::min<int>(3, static_cast<int>(bad)));
     }
 }
 
-TEST(Verdict, WhatIsCertainNeedNotWaitForAFullWindow) {
-    Rig rig = pool(4);
-    const int met = play(rig, 200, {1}, Outcome::severed);
+TEST(OutlierEjection, CertainFailureNeedsNoFullWindow) {
+    Rig rig = make_pool(4);
+    const int sent_to_bad = run_requests(rig, 200, {1}, Outcome::severed);
     EXPECT_EQ(rig.removals(), 1);
-    EXPECT_EQ(met, 3) << "three failures of any twenty are under 0.9";
+    EXPECT_EQ(sent_to_bad, 3) << "with three failures a window of 20 is below 0.9, whatever follows";
 }
 
 // ---- Half-open trial ------------------------------------------------------------------------------------
 
-// Server 1 removed and its backoff just over; returns the request that is its trial.
-RequestId trial(Rig& rig) {
-    play(rig, 120, {1}, Outcome::errored);
+// Has server 1 removed and its backoff pass; returns the request that is its trial.
+RequestId start_trial(Rig& rig) {
+    run_requests(rig, 120, {1}, Outcome::errored);
     EXPECT_EQ(rig.removals(), 1);
-    rig.pass(10001);
+    rig.advance(10001);
     RequestId id = 0;
     for (int i = 0; i < 200; ++i) {
         id = rig.request();
-        if (rig.where(id) == 1) return id;
+        if (rig.server_of(id) == 1) return id;
         rig.end(id, Outcome::completed, 10);
     }
-    ADD_FAILURE() << "no trial";
+    ADD_FAILURE() << "no trial request";
     return id;
 }
 
-TEST(Trial, OneRequestAtATimeAndSuccessRestores) {
-    Rig rig = pool(4);
-    const RequestId id = trial(rig);
+TEST(HalfOpenTrial, OneRequestAtATimeAndSuccessRestoresTheServer) {
+    Rig rig = make_pool(4);
+    const RequestId id = start_trial(rig);
     for (int i = 0; i < 50; ++i) {
         const RequestId other = rig.request();
-        EXPECT_NE(rig.where(other), 1U) << "one trial is enough";
+        EXPECT_NE(rig.server_of(other), 1U) << "only one trial at a time";
         rig.end(other, Outcome::completed, 1);
     }
     rig.end(id, Outcome::completed, 1);
     EXPECT_EQ(rig.logs.back(), "restored after a trial");
-    EXPECT_GT(play(rig, 100, {1}, Outcome::completed), 0);
+    EXPECT_GT(run_requests(rig, 100, {1}, Outcome::completed), 0);
 }
 
-TEST(Trial, SuccessGivesAFreshWindow) {
-    Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::completed, 1);
-    int left = 2;
-    while (left > 0) {
+TEST(HalfOpenTrial, SuccessClearsTheWindow) {
+    Rig rig = make_pool(4);
+    rig.end(start_trial(rig), Outcome::completed, 1);
+    int failures_left = 2;
+    while (failures_left > 0) {
         const RequestId id = rig.request();
-        const bool fail = rig.where(id) == 1;
+        const bool fail = rig.server_of(id) == 1;
         rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
-        left -= fail;
+        failures_left -= fail;
     }
-    EXPECT_EQ(rig.removals(), 1) << "two failures of twenty are borne: the old ones are forgotten";
+    EXPECT_EQ(rig.removals(), 1) << "two failures of 20 are tolerated: the window was cleared";
 }
 
-TEST(Trial, FailureStartsAnotherBackoff) {
-    Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::errored, 1);
-    EXPECT_EQ(play(rig, 100, {1}, Outcome::errored), 0);
-    rig.pass(10001);
-    EXPECT_GT(play(rig, 100, {1}, Outcome::errored), 0);
+TEST(HalfOpenTrial, FailureStartsAnotherBackoff) {
+    Rig rig = make_pool(4);
+    rig.end(start_trial(rig), Outcome::errored, 1);
+    EXPECT_EQ(run_requests(rig, 100, {1}, Outcome::errored), 0);
+    rig.advance(10001);
+    EXPECT_GT(run_requests(rig, 100, {1}, Outcome::errored), 0);
 }
 
-TEST(Trial, AnUndecidedOneIsTakenAgain) {
-    Rig rig = pool(4);
-    const RequestId id = trial(rig);
+TEST(HalfOpenTrial, InconclusiveTrialIsRepeated) {
+    Rig rig = make_pool(4);
+    const RequestId id = start_trial(rig);
     rig.requests.at(id).gone = true;
-    rig.give(ClientGone{id});
+    rig.deliver(ClientGone{id});
     rig.end(id, Outcome::recalled, 1);
-    EXPECT_GT(play(rig, 200, {1}, Outcome::completed), 0) << "still due";
+    EXPECT_GT(run_requests(rig, 200, {1}, Outcome::completed), 0) << "the trial is still due";
 }
 
-// ---- Pick -----------------------------------------------------------------------------------------------
+// ---- Server choice --------------------------------------------------------------------------------------
 
-TEST(Pick, OfTwoTheOneWithFewerOutstandingWins) {
-    Rig rig = pool(2);
+TEST(ServerChoice, ServerWithFewerOutstandingOfTwoIsUsed) {
+    Rig rig = make_pool(2);
     const RequestId first = rig.request();
     for (int i = 0; i < 20; ++i) {
         const RequestId id = rig.request();
-        EXPECT_NE(rig.where(id), rig.where(first));
+        EXPECT_NE(rig.server_of(id), rig.server_of(first));
         rig.end(id, Outcome::completed, 1);
     }
 }
 
-TEST(Pick, OnlyTwoAreLookedAt) {
-    Rig rig = pool(10);
+TEST(ServerChoice, OnlyTwoServersAreCompared) {
+    Rig rig = make_pool(10);
     std::vector<RequestId> busy;
     for (int i = 0; i < 200; ++i) busy.push_back(rig.request(0, 100000));
     std::map<ServerId, int> load;
-    for (const RequestId id : busy) ++load[rig.where(id)];
+    for (const RequestId id : busy) ++load[rig.server_of(id)];
     EXPECT_EQ(load.size(), 10U);
     int most = 0, least = 1000;
     for (const auto& [server, n] : load) most = std::max(most, n), least = std::min(least, n);
-    EXPECT_GT(most - least, 1) << "the least loaded of all would leave no such spread";
-    EXPECT_LT(most - least, 8) << "one at random would leave more";
+    EXPECT_GT(most - least, 1) << "always choosing the least loaded of all servers gives less spread";
+    EXPECT_LT(most - least, 8) << "choosing one at random gives more";
 }
 
-TEST(Pick, ARetryGoesToAServerNotYetTried) {
+TEST(ServerChoice, RetryGoesToAServerNotYetTried) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Rig rig = pool(3, seed, Effect::repeatable);
+        Rig rig = make_pool(3, seed, Effect::repeatable);
         const RequestId id = rig.request();
-        const ServerId first = rig.where(id);
+        const ServerId first = rig.server_of(id);
         rig.end(id, Outcome::errored, 10);
-        ASSERT_EQ(rig.sends(id), 2U);
-        EXPECT_NE(rig.where(id), first);
+        ASSERT_EQ(rig.attempts(id), 2U);
+        EXPECT_NE(rig.server_of(id), first);
     }
 }
 
 // ---- Slow start -----------------------------------------------------------------------------------------
 
-TEST(SlowStart, AColdServerGetsItsShareAndAWarmOneItsOwn) {
-    Rig rig = pool(4);
-    play(rig, 1000, {}, Outcome::completed);
-    rig.list(ListKind::incremental, {{9, 0, 0, Phase::on, rig.now}});
+TEST(SlowStart, ColdServerGetsAReducedShareUntilItIsWarm) {
+    Rig rig = make_pool(4);
+    run_requests(rig, 1000, {}, Outcome::completed);
+    rig.apply_list(ListKind::incremental, {{9, 0, 0, Phase::on, rig.now}});
     std::map<ServerId, int> load;
     for (int i = 0; i < 400; ++i) {
         const RequestId id = rig.request();
-        ++load[rig.where(id)];
+        ++load[rig.server_of(id)];
         rig.end(id, Outcome::completed, 10);
     }
     EXPECT_GT(load[9], 0);
-    EXPECT_LT(load[9], load[1] * 0.65) << "four seconds old: a third of its capacity, with leave to spare";
-    rig.pass(21000);
+    EXPECT_LT(load[9], load[1] * 0.65) << "at four seconds of age: a third of its capacity, with a margin";
+    rig.advance(21000);
     load.clear();
     for (int i = 0; i < 400; ++i) {
         const RequestId id = rig.request();
-        ++load[rig.where(id)];
+        ++load[rig.server_of(id)];
         rig.end(id, Outcome::completed, 10);
     }
     EXPECT_GT(load[9], 50);
@@ -223,114 +226,115 @@
 
 // ---- Retry budget, admission, list ----------------------------------------------------------------------
 
-TEST(RetryBudget, AFailingPoolIsNotAskedAsOftenAsTheLimitsAllow) {
-    Rig rig = pool(6, 1, Effect::repeatable);
+TEST(RetryBudget, BoundsAttemptsAtAFailingPool) {
+    Rig rig = make_pool(6, 1, Effect::repeatable);
     std::size_t sends = 0;
     const int requests = 500;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
-        while (rig.out(id)) rig.end(id, Outcome::errored, 2);
-        sends += rig.sends(id);
+        while (rig.outstanding(id)) rig.end(id, Outcome::errored, 2);
+        sends += rig.attempts(id);
     }
     EXPECT_GT(sends, requests * 1.1);
     EXPECT_LT(sends, requests * 1.3);
 }
 
-TEST(Admission, SlowAnswersBoundWhatIsOut) {
-    Rig rig = pool(4);
-    for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 600);  // half as slow again as the aim
+TEST(Admission, SlowAnswersLimitOutstandingRequests) {
+    Rig rig = make_pool(4);
+    for (int i = 0; i < 60; ++i) rig.complete(rig.burst(40, 5000), 600);  // 1.5 times the latency target
     const auto ids = rig.burst(200, 5000);
-    EXPECT_LT(rig.still_out(ids), 100);
-    EXPECT_GE(rig.still_out(ids), 1) << "never shut";
+    EXPECT_LT(rig.count_outstanding(ids), 100);
+    EXPECT_GE(rig.count_outstanding(ids), 1) << "the limit never falls to zero";
 }
 
-// A refusal says when to come back: soon after a crowd, after the backoff where nobody is live.
-TEST(Admission, ARefusalSaysWhenToComeBack) {
-    Rig crowd = pool(4);
-    for (int i = 0; i < 60; ++i) crowd.serve(crowd.burst(40, 5000), 600);
-    crowd.advice.clear();
-    crowd.burst(200, 5000);
-    crowd.pass(100);
-    EXPECT_GE(crowd.advice.size(), 100U);
-    for (const Millis advice : crowd.advice) {
-        EXPECT_GT(advice, 100);
-        EXPECT_LE(advice, 600);
+// A refusal tells the client when to retry: shortly under overload, after the backoff if no server is live.
+TEST(Admission, RefusalTellsWhenToRetry) {
+    Rig overloaded = make_pool(4);
+    for (int i = 0; i < 60; ++i) overloaded.complete(overloaded.burst(40, 5000), 600);
+    overloaded.retry_delays.clear();
+    overloaded.burst(200, 5000);
+    overloaded.advance(100);
+    EXPECT_GE(overloaded.retry_delays.size(), 100U);
+    for (const Millis retry_delay : overloaded.retry_delays) {
+        EXPECT_GT(retry_delay, 100);
+        EXPECT_LE(retry_delay, 600);
     }
-    Rig empty = pool(1);
-    empty.list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    Rig empty = make_pool(1);
+    empty.apply_list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
     empty.request();
-    empty.pass(100);
-    EXPECT_EQ(empty.advice, std::vector<Millis>{10000});
+    empty.advance(100);
+    EXPECT_EQ(empty.retry_delays, std::vector<Millis>{10000});
 }
 
-// Clients who give up before an answer was to be expected say nothing of servers or pool: no refusal, no
-// removal, no probe for them. Every answer takes 100 ms here, a fifth of all clients wait 30.
-TEST(Admission, ClientsThatGiveUpEarlyCloseNoRoom) {
+// Time-outs of clients that wait for less time than an answer is expected to take must not count against the
+// servers: no refusal, removal, probe or gossip follows. Every answer takes 100 ms here; a fifth of the
+// clients wait for 30 ms.
+TEST(Admission, EarlyClientTimeoutsDoNotCountAgainstServers) {
     Settings settings = make_settings();
     settings.siblings = 300, settings.may_tell = settings.may_probe = true;
     Rig rig(settings);
-    rig.list(ListKind::full, make_servers(40));
-    int told = 0, probes = 0;  // single peers, of a failure
-    const auto count_told = [&] {
-        for (const Action& a : rig.last)
-            if (const auto* tell = std::get_if<TellPeer>(&a)) told += tell->to.has_value();
+    rig.apply_list(ListKind::full, make_servers(40));
+    int gossiped = 0, probes = 0;  // messages to single peers: gossip of failures
+    const auto count_gossiped = [&] {
+        for (const Action& a : rig.last_actions)
+            if (const auto* tell = std::get_if<TellPeer>(&a)) gossiped += tell->to.has_value();
     };
     for (int i = 0; i < 1000; ++i) {
         const RequestId id = rig.request(0, i % 5 == 4 && i > 50 ? 30 : 1000);
-        count_told();
+        count_gossiped();
         probes += rig.count<Probe>();
-        ASSERT_TRUE(rig.out(id)) << "request " << i << " is refused";
+        ASSERT_TRUE(rig.outstanding(id)) << "request " << i << " is refused";
         rig.end(id, i % 5 == 4 && i > 50 ? Outcome::overdue : Outcome::completed,
                 i % 5 == 4 && i > 50 ? 30 : 100);
-        count_told();
+        count_gossiped();
     }
     EXPECT_LT(rig.balancer.tally().crowding, 0.3);
     EXPECT_GT(rig.balancer.tally().timely, 0.99);
     EXPECT_EQ(rig.removals(), 0);
     EXPECT_EQ(probes, 0);
-    EXPECT_EQ(told, 0);
+    EXPECT_EQ(gossiped, 0);
 }
 
-// But one that stands still is found, also by clients who don't wait for the aim.
-TEST(Window, OneThatStandsStillIsLeftAloneAlsoByClientsOfLittlePatience) {
-    Rig rig = pool(4, 1, Effect::repeatable);
+// A stalled server must be found even if clients wait for less time than the latency target.
+TEST(Window, StalledServerIsAvoidedDespiteShortClientTimeouts) {
+    Rig rig = make_pool(4, 1, Effect::repeatable);
     for (int i = 0; i < 100; ++i) rig.end(rig.request(0, 100), Outcome::completed, 10);
-    int asked = 0;
+    int sent_to_stalled = 0;
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request(0, 100);
-        const bool still = rig.where(id) == 2;
-        asked += still;
-        rig.end(id, still ? Outcome::overdue : Outcome::completed, still ? 100 : 10);
+        const bool stalled = rig.server_of(id) == 2;
+        sent_to_stalled += stalled;
+        rig.end(id, stalled ? Outcome::overdue : Outcome::completed, stalled ? 100 : 10);
     }
-    EXPECT_LT(asked, 8) << "of 100, an even part is 25";
+    EXPECT_LT(sent_to_stalled, 8) << "an even share of 100 requests is 25";
 }
 
-TEST(Admission, FastAnswersBoundNothing) {
-    Rig rig = pool(4);
-    for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 20);
-    EXPECT_EQ(rig.still_out(rig.burst(200, 5000)), 200);
+TEST(Admission, FastAnswersLimitNothing) {
+    Rig rig = make_pool(4);
+    for (int i = 0; i < 60; ++i) rig.complete(rig.burst(40, 5000), 20);
+    EXPECT_EQ(rig.count_outstanding(rig.burst(200, 5000)), 200);
 }
 
-TEST(List, ItIsSubscribedToAtTheStartWhereItMustBeAsked) {
-    for (const bool asked : {false, true}) {
+TEST(List, SubscribesAtTheStartWhereConfigured) {
+    for (const bool on_request : {false, true}) {
         Settings s = make_settings();
-        s.list_on_request = asked;
+        s.list_on_request = on_request;
         Rig rig(s);
-        rig.give(Started{});
-        EXPECT_EQ(rig.count<Subscribe>(), asked ? 1 : 0);
+        rig.deliver(Started{});
+        EXPECT_EQ(rig.count<Subscribe>(), on_request ? 1 : 0);
     }
 }
 
-TEST(List, FailedCallsAreRepeatedLaterEachTimeAndNotInStep) {
+TEST(List, FailedCallsAreRetriedWithBackoffAndJitter) {
     std::set<Millis> waits;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Settings s = make_settings();
         s.list_on_request = true;
         Rig rig(s, seed);
-        rig.give(Started{});
+        rig.deliver(Started{});
         Millis last_wait = 0, total = 0;
         for (int i = 0; i < 3; ++i) {
-            rig.list(ListKind::failed, {});
+            rig.apply_list(ListKind::failed, {});
             ASSERT_EQ(rig.timers.size(), 1U);
             last_wait = rig.timers.begin()->first - rig.now;
             if (i == 0) waits.insert(last_wait);
@@ -338,35 +342,35 @@
             rig.now += last_wait;
             const TimerToken token = rig.timers.begin()->second;
             rig.timers.clear();
-            rig.give(TimerFired{token});
+            rig.deliver(TimerFired{token});
             EXPECT_EQ(rig.count<Subscribe>(), 1);
         }
         EXPECT_GE(total, 3000);
         EXPECT_LE(last_wait, 6000);
     }
-    EXPECT_EQ(waits.size(), 5U) << "different seeds, different waits";
+    EXPECT_EQ(waits.size(), 5U) << "the waits must be jittered by seed";
 }
 
-TEST(List, AFailedCallKeepsTheListInForce) {
-    Rig rig = pool(2);
-    rig.list(ListKind::failed, {});
-    EXPECT_TRUE(rig.out(rig.request()));
+TEST(List, FailedCallKeepsTheLastList) {
+    Rig rig = make_pool(2);
+    rig.apply_list(ListKind::failed, {});
+    EXPECT_TRUE(rig.outstanding(rig.request()));
 }
 
-TEST(List, HeldRequestsGoOutWhenAServerAppears) {
+TEST(List, HeldRequestsAreSentWhenAServerAppears) {
     Rig rig(make_settings());
-    rig.list(ListKind::saved, {});
+    rig.apply_list(ListKind::saved, {});
     const RequestId id = rig.request();
-    EXPECT_FALSE(rig.out(id));
+    EXPECT_FALSE(rig.outstanding(id));
     rig.now += 5;
-    rig.list(ListKind::full, make_servers(2));
-    EXPECT_TRUE(rig.out(id));
+    rig.apply_list(ListKind::full, make_servers(2));
+    EXPECT_TRUE(rig.outstanding(id));
 }
 
 // ---- Bad input ------------------------------------------------------------------------------------------
 
-TEST(Settings, NonsenseIsNamed) {
-    const auto complaint = [](auto change) -> std::string {
+TEST(Settings, InvalidSettingIsNamed) {
+    const auto error_for = [](auto change) -> std::string {
         Settings s = make_settings();
         change(s);
         try {
@@ -376,48 +380,48 @@
         }
         return "accepted";
     };
-    const auto names = [&](auto change, const std::string& name) {
-        EXPECT_NE(complaint(change).find(name), std::string::npos) << complaint(change);
+    const auto expect_named = [&](auto change, const std::string& name) {
+        EXPECT_NE(error_for(change).find(name), std::string::npos) << error_for(change);
     };
-    names([](Settings& s) { s.classes.clear(); }, "classes");
-    names([](Settings& s) { s.classes[0].aim = 0; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].aim = NAN; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].worth = -1; }, "classes[0].worth");
-    names([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& s) { s.classes[0].aim_stretch = INFINITY; }, "classes[0].aim_stretch");
-    names([](Settings& s) { s.siblings = 0; }, "siblings");
-    names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    names([](Settings& s) { s.warm_within = -1; }, "warm_within");
-    names([](Settings& s) { s.fall_multiple = 0.5; }, "fall_multiple");
-    names([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
-    names([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
-    EXPECT_EQ(complaint([](Settings&) {}), "accepted");
+    expect_named([](Settings& s) { s.classes.clear(); }, "classes");
+    expect_named([](Settings& s) { s.classes[0].aim = 0; }, "classes[0].aim");
+    expect_named([](Settings& s) { s.classes[0].aim = NAN; }, "classes[0].aim");
+    expect_named([](Settings& s) { s.classes[0].worth = -1; }, "classes[0].worth");
+    expect_named([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
+    expect_named([](Settings& s) { s.classes[0].aim_stretch = INFINITY; }, "classes[0].aim_stretch");
+    expect_named([](Settings& s) { s.siblings = 0; }, "siblings");
+    expect_named([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
+    expect_named([](Settings& s) { s.warm_within = -1; }, "warm_within");
+    expect_named([](Settings& s) { s.fall_multiple = 0.5; }, "fall_multiple");
+    expect_named([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
+    expect_named([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
+    EXPECT_EQ(error_for([](Settings&) {}), "accepted");
 }
 
-TEST(Events, AboutUnknownOrFinishedThingsDoNothing) {
-    Rig rig = pool(2);
+TEST(Events, AboutUnknownOrFinishedObjectsHaveNoEffect) {
+    Rig rig = make_pool(2);
     const RequestId id = rig.request();
     rig.end(id, Outcome::completed, 10);
-    const auto nothing = [&](const Event& event) {
+    const auto expect_no_actions = [&](const Event& event) {
         std::vector<Action> actions;
         rig.balancer.handle(rig.now, event, actions);
         EXPECT_TRUE(actions.empty());
     };
-    nothing(AttemptEnded{id, 0, Outcome::errored, 5, true});
-    nothing(AttemptEnded{999, 0, Outcome::errored, 5, false});
-    nothing(ClientGone{id});
-    nothing(ClientGone{999});
-    nothing(FirstByte{999, 0});
-    nothing(TimerFired{12345});
-    nothing(ProbeEnded{77, Outcome::completed, 1});
-    nothing(PeerMessage{3, {1, 2, 3}});
+    expect_no_actions(AttemptEnded{id, 0, Outcome::errored, 5, true});
+    expect_no_actions(AttemptEnded{999, 0, Outcome::errored, 5, false});
+    expect_no_actions(ClientGone{id});
+    expect_no_actions(ClientGone{999});
+    expect_no_actions(FirstByte{999, 0});
+    expect_no_actions(TimerFired{12345});
+    expect_no_actions(ProbeEnded{77, Outcome::completed, 1});
+    expect_no_actions(PeerMessage{3, {1, 2, 3}});
     const RequestId open = rig.request();
-    nothing(AttemptEnded{open, 7, Outcome::errored, 5, false});
+    expect_no_actions(AttemptEnded{open, 7, Outcome::errored, 5, false});
     rig.end(open, Outcome::completed, 10);
 }
 
-TEST(Events, AClockThatStepsBackIsHeld) {
-    Rig rig = pool(2);
+TEST(Events, TimeThatGoesBackIsIgnored) {
+    Rig rig = make_pool(2);
     const RequestId id = rig.request(0, 1000);
     std::vector<Action> actions;
     rig.balancer.handle(rig.now - 5000, RequestArrived{777, 0, 1000}, actions);
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -87,5 +87,5 @@
 run module_expiry src/balance.cpp 's/return now < guided_until;/return guided_until > 0;/'
 run module_half src/balance.cpp 's/return guided\(\) && 2 \* out <= listed;/return guided();/'
 run module_life src/balance.cpp 's/ \|\| at->second\.info\.online_since != one\.born//'
-run module_grant src/balance.cpp 's/return std::min\(part, kGuidedFeed[^;]*;/return part;/'
+run module_grant src/balance.cpp 's/return std::min\(granted, kGuidedColdShare[^;]*;/return granted;/'
 [ "$survivors" = 0 ]
--- a/tests/rig.hpp
+++ b/tests/rig.hpp
@@ -1,5 +1,6 @@
-// What the tests share: a balancer with a clock, its open requests and timers, and a checker that watches
-// every action against rules 1 to 3, written from the rules and not from the module.
+// Test harness: a balancer with a virtual clock, its requests and timers, and a check of every action
+// against rules 1 to 3 (one final answer in time; no forbidden repeat; nothing to draining servers). The
+// check follows the rules as stated and shares no code with the module.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -38,17 +39,17 @@
 }
 
 struct Rig {
-    struct Sent {
+    struct Attempt {
         ServerId server;
         Millis at;
         Millis until;
-        bool out = true;
+        bool outstanding = true;
         bool may_have_run = true;
     };
-    struct Open {
+    struct Request {
         RequestClass kind;
         Millis deadline;
-        std::vector<Sent> sent;
+        std::vector<Attempt> sent;
         int answers = 0;
         bool gone = false;
         bool refused = false;
@@ -57,27 +58,27 @@
     Settings settings;
     Balancer balancer;
     Millis now = 100000;
-    std::map<RequestId, Open> requests;
-    std::map<ServerId, ServerInfo> servers;  // as last told
+    std::map<RequestId, Request> requests;
+    std::map<ServerId, ServerInfo> servers;  // as last listed
     std::multimap<Millis, TimerToken> timers;
-    std::vector<Action> last;  // actions of the last event
+    std::vector<Action> last_actions;  // of the last event
     RequestId next_id = 1;
     std::vector<std::string> logs;
-    std::vector<Millis> advice;  // of the refusals
+    std::vector<Millis> retry_delays;  // of the refusals
 
     explicit Rig(Settings s, std::uint64_t seed = 1) : settings(s), balancer(std::move(s), seed) {}
 
-    void give(const Event& event) {
-        last.clear();
-        balancer.handle(now, event, last);
-        for (const Action& a : last) watch(a);
+    void deliver(const Event& event) {
+        last_actions.clear();
+        balancer.handle(now, event, last_actions);
+        for (const Action& a : last_actions) check_action(a);
     }
 
-    void list(ListKind kind, const std::vector<ServerInfo>& infos) {
+    void apply_list(ListKind kind, const std::vector<ServerInfo>& infos) {
         if (kind != ListKind::incremental && kind != ListKind::failed)
             for (auto& [id, s] : servers) s.phase = Phase::off;
         for (const ServerInfo& s : infos) servers[s.id] = s;
-        give(ServerList{kind, infos});
+        deliver(ServerList{kind, infos});
     }
 
     RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false) {
@@ -85,7 +86,7 @@
         RequestClass kind = make_class(Effect::once);
         if (class_index < settings.classes.size()) kind = settings.classes[class_index];
         requests[id] = {kind, now + time_left, {}, 0, false, false};
-        give(RequestArrived{id, class_index, time_left, 0, repeat});
+        deliver(RequestArrived{id, class_index, time_left, 0, repeat});
         return id;
     }
 
@@ -94,38 +95,39 @@
         for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, repeat));
         return ids;
     }
-    int still_out(const std::vector<RequestId>& ids) const {
-        return static_cast<int>(std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return out(id); }));
+    int count_outstanding(const std::vector<RequestId>& ids) const {
+        return static_cast<int>(
+            std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return outstanding(id); }));
     }
-    // Later, all of them that are still out are answered at once.
-    void serve(const std::vector<RequestId>& ids, Millis after) {
+    // After a delay, completes all of them that are outstanding.
+    void complete(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids)
-            if (out(id)) end(id, Outcome::completed, 0);
+            if (outstanding(id)) end(id, Outcome::completed, 0);
     }
 
-    // Ends the last attempt of a request that is out.
+    // Ends the first outstanding attempt of the request.
     void end(RequestId id, Outcome outcome, Millis after = 50) {
         now += after;
-        Open& r = requests.at(id);
+        Request& r = requests.at(id);
         for (std::uint32_t i = 0; i < r.sent.size(); ++i)
-            if (r.sent[i].out) return end_attempt(id, i, outcome);
-        FAIL() << "nothing out for request " << id;
+            if (r.sent[i].outstanding) return end_attempt(id, i, outcome);
+        FAIL() << "no outstanding attempt of request " << id;
     }
 
     void end_attempt(RequestId id, std::uint32_t attempt, Outcome outcome) {
-        Open& r = requests.at(id);
-        Sent& s = r.sent.at(attempt);
-        s.out = false;
+        Request& r = requests.at(id);
+        Attempt& s = r.sent.at(attempt);
+        s.outstanding = false;
         s.may_have_run = outcome != Outcome::saturated && outcome != Outcome::refused_connection &&
                          outcome != Outcome::superseded;
-        if (outcome == Outcome::completed && !closed(r)) ++r.answers;
-        AttemptEnded e{id, attempt, outcome, now - s.at, closed(r)};
-        give(e);
+        if (outcome == Outcome::completed && !answered(r)) ++r.answers;
+        AttemptEnded e{id, attempt, outcome, now - s.at, answered(r)};
+        deliver(e);
     }
 
-    // Lets time pass, firing timers and ending attempts that run out.
-    void pass(Millis span) {
+    // Advances the clock, firing timers and ending attempts at their time-out.
+    void advance(Millis span) {
         const Millis until = now + span;
         for (;;) {
             Millis next = until;
@@ -133,7 +135,7 @@
             std::pair<RequestId, std::uint32_t> late{0, 0};
             for (auto& [id, r] : requests)
                 for (std::uint32_t i = 0; i < r.sent.size(); ++i)
-                    if (r.sent[i].out && std::max(now, r.sent[i].until) < next) {
+                    if (r.sent[i].outstanding && std::max(now, r.sent[i].until) < next) {
                         next = std::max(now, r.sent[i].until);
                         late = {id, i};
                     }
@@ -143,33 +145,33 @@
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
-                give(TimerFired{token});
+                deliver(TimerFired{token});
             } else {
                 return;
             }
         }
     }
 
-    bool closed(const Open& r) const { return r.answers > 0 || r.gone; }
-    bool out(RequestId id) const {
+    bool answered(const Request& r) const { return r.answers > 0 || r.gone; }
+    bool outstanding(RequestId id) const {
         const auto& sent = requests.at(id).sent;
-        return std::any_of(sent.begin(), sent.end(), [](const Sent& s) { return s.out; });
+        return std::any_of(sent.begin(), sent.end(), [](const Attempt& s) { return s.outstanding; });
     }
-    ServerId where(RequestId id) const { return requests.at(id).sent.back().server; }
-    std::size_t sends(RequestId id) const { return requests.at(id).sent.size(); }
+    ServerId server_of(RequestId id) const { return requests.at(id).sent.back().server; }
+    std::size_t attempts(RequestId id) const { return requests.at(id).sent.size(); }
     auto removals() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
     template <class T>
     int count() const {
-        return static_cast<int>(
-            std::count_if(last.begin(), last.end(), [](const Action& a) { return std::get_if<T>(&a); }));
+        return static_cast<int>(std::count_if(last_actions.begin(), last_actions.end(),
+                                              [](const Action& a) { return std::get_if<T>(&a); }));
     }
 
-    void watch(const Action& action) {
-        if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
+    void check_action(const Action& action) {
+        if (const auto* send = std::get_if<Send>(&action)) check_send(*send);
         if (const auto* refuse = std::get_if<Refuse>(&action)) {
-            Open& r = requests.at(refuse->id);
-            const Sent* first = nullptr;
-            for (const Sent& s : r.sent)
+            Request& r = requests.at(refuse->id);
+            const Attempt* first = nullptr;
+            for (const Attempt& s : r.sent)
                 if (s.may_have_run && !first) first = &s;
             if (first) {
                 EXPECT_TRUE(r.kind.effect == Effect::repeatable ||
@@ -177,30 +179,30 @@
                     << "rule 2: refused after a possible run";
             }
             r.refused = true;
-            advice.push_back(refuse->retry_in);
-            answer(r);
+            retry_delays.push_back(refuse->retry_in);
+            check_answer(r);
         }
-        if (const auto* failed = std::get_if<GiveUp>(&action)) answer(requests.at(failed->id));
+        if (const auto* failed = std::get_if<GiveUp>(&action)) check_answer(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
         if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
     }
 
-    void answer(Open& r) {
-        EXPECT_FALSE(closed(r)) << "rule 1: a second final answer";
+    void check_answer(Request& r) {
+        EXPECT_FALSE(answered(r)) << "rule 1: a second final answer";
         EXPECT_LE(now, r.deadline) << "rule 1: too late an answer";
         ++r.answers;
     }
 
-    void on_send(const Send& send) {
-        Open& r = requests.at(send.id);
-        EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
+    void check_send(const Send& send) {
+        Request& r = requests.at(send.id);
+        EXPECT_FALSE(answered(r)) << "rule 1: sent after the final answer";
         EXPECT_LT(r.sent.size(), settings.max_attempts) << "too many attempts";
         EXPECT_EQ(servers.at(send.server).phase, Phase::on) << "rule 3: sent to a draining or gone server";
         const ServerInfo& to = servers.at(send.server);
-        const Sent* first = nullptr;
-        for (const Sent& s : r.sent) {
-            if (s.out) {
-                EXPECT_TRUE(settings.parallel_tries) << "two attempts out";
+        const Attempt* first = nullptr;
+        for (const Attempt& s : r.sent) {
+            if (s.outstanding) {
+                EXPECT_TRUE(settings.parallel_tries) << "two attempts outstanding";
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
@@ -220,11 +222,11 @@
         r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
     }
 
-    // Everything taken must have been answered once.
-    void settle() {
-        pass(60000);
+    // Runs until everything has timed out: each request must then have its answer and be erased.
+    void expect_all_answered() {
+        advance(60000);
         for (const auto& [id, r] : requests)
-            EXPECT_TRUE(closed(r)) << "rule 1: request " << id << " unanswered";
+            EXPECT_TRUE(answered(r)) << "rule 1: request " << id << " unanswered";
         EXPECT_EQ(balancer.held().requests, 0U);
     }
 };
