--- a/src/simhost.cpp
+++ b/src/simhost.cpp
@@ -1,4 +1,4 @@
-// The process that the simulator starts: the wire on standard input and output.
+// The process that the simulator starts: speaks its line protocol on standard input and output.
 #include <iostream>
 
 #include "wire.hpp"
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -22,7 +22,7 @@
 using Names = std::vector<std::pair<std::string_view, T>>;
 
 template <class T>
-T named(const Message& message, std::string_view field, const Names<T>& names) {
+T value_of(const Message& message, std::string_view field, const Names<T>& names) {
     const std::string_view text = message.text(field);
     for (const auto& [name, value] : names)
         if (name == text) return value;
@@ -143,30 +143,31 @@
     fail(field, "is not a truth value");
 }
 
-ZoneId Site::zone(std::string_view name) {
+ZoneId StartConfig::zone(std::string_view name) {
     const auto at = std::find(zones.begin(), zones.end(), name);
     const auto id = static_cast<ZoneId>(at - zones.begin());
     if (at == zones.end()) zones.emplace_back(name);
     return id;
 }
 
-Site read_site(const Message& start) {
-    Site site;
-    Settings& s = site.settings;
-    if (start.has("azs")) site.zones = split(start.text("azs"));
-    if (start.has("my-zone")) s.my_zone = site.zone(start.text("my-zone"));
+StartConfig read_start(const Message& start) {
+    StartConfig config;
+    Settings& s = config.settings;
+    if (start.has("azs")) config.zones = split(start.text("azs"));
+    if (start.has("my-zone")) s.my_zone = config.zone(start.text("my-zone"));
     for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         RequestClass c;
-        c.effect = named(start, prefix + "effect", effects);
-        if (start.has(prefix + "dedup-scope")) c.dedup_scope = named(start, prefix + "dedup-scope", scopes);
+        c.effect = value_of(start, prefix + "effect", effects);
+        if (start.has(prefix + "dedup-scope"))
+            c.dedup_scope = value_of(start, prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
         c.aim = start.number(prefix + "on-time-ms");
         c.aim_stretch = start.number_or(prefix + "aim-stretch", c.aim_stretch);
         c.worth = start.number_or(prefix + "credit", c.worth);
         c.late_worth = start.number_or(prefix + "late-value", c.late_worth);
         s.classes.push_back(c);
-        site.classes.emplace_back(start.text(prefix + "name"));
+        config.classes.emplace_back(start.text(prefix + "name"));
     }
     if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
     s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
@@ -185,14 +186,14 @@
     s.fees.handshake = start.number_or("fees.handshake", s.fees.handshake);
     for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
         const std::string prefix = "tenants." + std::to_string(i) + ".";
-        site.tenants.emplace_back(start.text(prefix + "name"));
+        config.tenants.emplace_back(start.text(prefix + "name"));
         s.tenants.push_back({start.number_or(prefix + "quota-per-s", 0)});
     }
     s.over_share_worth = start.number_or("over-share-worth", s.over_share_worth);
-    return site;
+    return config;
 }
 
-Outcome read_outcome(const Message& message) { return named(message, "rc", outcomes); }
+Outcome read_outcome(const Message& message) { return value_of(message, "rc", outcomes); }
 
 std::vector<std::uint8_t> read_bytes(const Message& message, std::string_view field) {
     std::vector<std::uint8_t> bytes;
@@ -210,22 +211,23 @@
 
 // ---- Host -----------------------------------------------------------------------------------------------
 
-// One sidecar: its balancer and the names behind the integers the balancer sees. A request's name is kept
-// until it has ended and its attempts have; a server's while it is listed or an attempt on it is out.
+// One simulated sidecar: its balancer, and the simulator's names of the balancer's ids. A request's name is
+// kept until the request and all its attempts have ended, a server's while it is listed or has an outstanding
+// attempt.
 struct Host::Instance {
     struct Request {
         std::string name;
-        std::uint32_t out = 0;
+        std::uint32_t outstanding = 0;
         bool ended = false;
     };
     struct Server {
         std::string name;
-        std::uint32_t out = 0;
+        std::uint32_t outstanding = 0;
         bool listed = false;
     };
 
-    Instance(std::string name_, Site site_, std::uint64_t seed)
-        : name(std::move(name_)), site(std::move(site_)), balancer(site.settings, seed) {}
+    Instance(std::string name_, StartConfig config_, std::uint64_t seed)
+        : name(std::move(name_)), config(std::move(config_)), balancer(config.settings, seed) {}
 
     ServerId server(const std::string& server_name) {
         const auto known = server_ids.find(server_name);
@@ -236,25 +238,25 @@
         return id;
     }
 
-    void drop_request(RequestId id) {
+    void erase_request_if_ended(RequestId id) {
         const auto at = requests.find(id);
-        if (at == requests.end() || !at->second.ended || at->second.out > 0) return;
+        if (at == requests.end() || !at->second.ended || at->second.outstanding > 0) return;
         request_ids.erase(at->second.name);
         requests.erase(at);
     }
     void end_request(RequestId id) {
         if (const auto at = requests.find(id); at != requests.end()) at->second.ended = true;
-        drop_request(id);
+        erase_request_if_ended(id);
     }
-    void drop_server(ServerId id) {
+    void erase_server_if_unused(ServerId id) {
         const auto at = servers.find(id);
-        if (at == servers.end() || at->second.listed || at->second.out > 0) return;
+        if (at == servers.end() || at->second.listed || at->second.outstanding > 0) return;
         server_ids.erase(at->second.name);
         servers.erase(at);
     }
 
     std::string name;
-    Site site;
+    StartConfig config;
     Balancer balancer;
     std::unordered_map<std::string, RequestId> request_ids;
     std::unordered_map<RequestId, Request> requests;
@@ -277,7 +279,7 @@
         for (std::string line; next_line(line);) {
             const Message mark(line, line_);
             if (mark.kind() != "MARK") mark.fail(mark.kind(), "stands where MARK is due");
-            batch(mark);
+            run_batch(mark);
         }
     } catch (const WireError& error) {
         err_ << "kelplb_simhost: " << error.what() << '\n';
@@ -286,7 +288,7 @@
     return 0;
 }
 
-void Host::batch(const Message& mark) {
+void Host::run_batch(const Message& mark) {
     now_ = mark.number("now-ms");
     const std::uint64_t frame = mark.integer("frame");
     reply_.clear();
@@ -295,15 +297,15 @@
             throw WireError("line " + std::to_string(line_) + ": MARK: input ends before 'OVER_TO_YOU'");
         const Message message(line, line_);
         if (message.kind() == "OVER_TO_YOU") break;
-        event(message);
+        handle_event(message);
     }
     out_ << reply_ << "END frame=" << frame << '\n' << std::flush;
 }
 
-void Host::event(const Message& message) {
+void Host::handle_event(const Message& message) {
     const std::string_view kind = message.kind();
-    if (kind == "CATALOG") return catalog(message);
-    if (kind == "START") return start(message);
+    if (kind == "CATALOG") return read_catalog(message);
+    if (kind == "START") return start_instance(message);
     static const std::vector<std::string_view> known{"POWER_OFF",     "PEERS_KNOWN", "ACCEPT",
                                                      "HEAD_RECEIVED", "VERDICT",     "EXPIRED",
                                                      "TICK_DUE",      "HEALTH",      "MEMO"};
@@ -320,17 +322,17 @@
     if (kind == "POWER_OFF") {
         instances_.erase(at);
     } else if (kind == "PEERS_KNOWN") {
-        list(instance, message);
+        handle_list(instance, message);
     } else if (kind == "ACCEPT") {
         RequestArrived arrived;
         arrived.time_left = message.number("time-left-ms");
         arrived.effort = message.number_or("effort-ms", 0);
         arrived.repeat = message.flag_or("repeat", false);
-        const auto& classes = instance.site.classes;
+        const auto& classes = instance.config.classes;
         const auto grade = std::find(classes.begin(), classes.end(), message.text("grade"));
         arrived.class_index = static_cast<std::uint32_t>(grade - classes.begin());
         if (message.has("realm")) {
-            const auto& tenants = instance.site.tenants;
+            const auto& tenants = instance.config.tenants;
             const auto realm = std::find(tenants.begin(), tenants.end(), message.text("realm"));
             arrived.tenant = static_cast<std::uint32_t>(realm - tenants.begin());
         }
@@ -339,31 +341,31 @@
         if (!fresh) message.fail("rid", "was given before");
         arrived.id = known_id->second;
         instance.requests[instance.next_request++].name = rid;
-        give(instance, arrived);
+        deliver(instance, arrived);
     } else if (kind == "HEAD_RECEIVED" || kind == "EXPIRED") {
         const auto request = instance.request_ids.find(std::string(message.text("rid")));
         const bool gone = kind == "EXPIRED";
         const auto hop = gone ? 0 : static_cast<std::uint32_t>(message.integer("hop"));
-        if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
+        if (request == instance.request_ids.end()) return;  // the instance has already ended it
         const RequestId id = request->second;
-        give(instance, gone ? Event(ClientGone{id}) : Event(FirstByte{id, hop}));
+        deliver(instance, gone ? Event(ClientGone{id}) : Event(FirstByte{id, hop}));
         if (gone) instance.end_request(id);
     } else if (kind == "VERDICT") {
-        attempt_ended(instance, message);
+        handle_attempt_ended(instance, message);
     } else if (kind == "TICK_DUE") {
-        give(instance, TimerFired{message.integer("nonce")});
+        deliver(instance, TimerFired{message.integer("nonce")});
     } else if (kind == "HEALTH") {
         const auto server = instance.server_ids.find(std::string(message.text("server")));
         const ProbeEnded probed{server == instance.server_ids.end() ? 0 : server->second,
                                 read_outcome(message), message.number_or("duration-ms", 0)};
-        if (server != instance.server_ids.end()) give(instance, probed);
+        if (server != instance.server_ids.end()) deliver(instance, probed);
     } else {
-        give(instance, PeerMessage{static_cast<std::uint32_t>(message.integer("src-peer")),
-                                   read_bytes(message, "msg")});
+        deliver(instance, PeerMessage{static_cast<std::uint32_t>(message.integer("src-peer")),
+                                      read_bytes(message, "msg")});
     }
 }
 
-void Host::catalog(const Message& message) {
+void Host::read_catalog(const Message& message) {
     const std::uint64_t ref = message.integer("ref");
     if (ref >= catalogs_.size()) message.fail("ref", "is out of range");
     const std::uint64_t count = message.integer("items");
@@ -378,7 +380,7 @@
         e.server = entry.text("server");
         if (entry.has("rack-zone")) e.zone = entry.text("rack-zone");
         e.cell = static_cast<std::uint32_t>(entry.integer_or("pod", 0));
-        e.phase = named(entry, "phase", phases);
+        e.phase = value_of(entry, "phase", phases);
         e.online_since = entry.number_or("online-since-ms", 0);
         e.units = entry.number_or("units", 1);
         entries.push_back(std::move(e));
@@ -386,20 +388,20 @@
     catalogs_[ref] = std::move(entries);
 }
 
-void Host::start(const Message& message) {
+void Host::start_instance(const Message& message) {
     const std::string name(message.text("who"));
     const std::uint64_t seed = message.integer("entropy");
     instances_.erase(name);
     try {
-        const auto at = instances_.try_emplace(name, name, read_site(message), seed).first;
-        give(at->second, Started{});
+        const auto at = instances_.try_emplace(name, name, read_start(message), seed).first;
+        deliver(at->second, Started{});
     } catch (const std::invalid_argument& error) {
         reply_ += "FAULT who=" + name + " words=" + error.what() + "\n";
     }
 }
 
-void Host::list(Instance& instance, const Message& message) {
-    ServerList list{named(message, "mode", list_kinds), {}};
+void Host::handle_list(Instance& instance, const Message& message) {
+    ServerList list{value_of(message, "mode", list_kinds), {}};
     if (list.kind != ListKind::failed) {
         const std::uint64_t ref = message.integer("ref");
         if (ref >= catalogs_.size()) message.fail("ref", "is out of range");
@@ -409,17 +411,17 @@
             const ServerId id = instance.server(e.server);
             instance.servers[id].listed = e.phase != Phase::off;
             list.servers.push_back(
-                {id, instance.site.zone(e.zone), e.cell, e.phase, e.online_since, e.units});
+                {id, instance.config.zone(e.zone), e.cell, e.phase, e.online_since, e.units});
         }
     }
-    give(instance, list);
+    deliver(instance, list);
     if (list.kind == ListKind::failed) return;
     std::vector<ServerId> ids;
     for (const auto& [id, server] : instance.servers) ids.push_back(id);
-    for (const ServerId id : ids) instance.drop_server(id);
+    for (const ServerId id : ids) instance.erase_server_if_unused(id);
 }
 
-void Host::attempt_ended(Instance& instance, const Message& message) {
+void Host::handle_attempt_ended(Instance& instance, const Message& message) {
     AttemptEnded ended;
     ended.attempt = static_cast<std::uint32_t>(message.integer("hop"));
     ended.outcome = read_outcome(message);
@@ -429,18 +431,18 @@
     const auto request = instance.request_ids.find(std::string(message.text("rid")));
     if (request == instance.request_ids.end()) return;
     ended.id = request->second;
-    Instance::Request& held = instance.requests.at(ended.id);
-    if (held.out > 0) --held.out;
-    if (ended.request_ended) held.ended = true;
-    give(instance, ended);
-    instance.drop_request(ended.id);
+    Instance::Request& request_state = instance.requests.at(ended.id);
+    if (request_state.outstanding > 0) --request_state.outstanding;
+    if (ended.request_ended) request_state.ended = true;
+    deliver(instance, ended);
+    instance.erase_request_if_ended(ended.id);
     if (server == instance.server_ids.end()) return;
     const ServerId id = server->second;
-    if (Instance::Server& s = instance.servers.at(id); s.out > 0) --s.out;
-    instance.drop_server(id);
+    if (Instance::Server& s = instance.servers.at(id); s.outstanding > 0) --s.outstanding;
+    instance.erase_server_if_unused(id);
 }
 
-void Host::give(Instance& instance, const Event& event) {
+void Host::deliver(Instance& instance, const Event& event) {
     actions_.clear();
     try {
         instance.balancer.handle(now_, event, actions_);
@@ -448,10 +450,10 @@
         reply_ += "FAULT who=" + instance.name + " words=" + error.what() + "\n";
         return;
     }
-    for (const Action& action : actions_) put(instance, action);
+    for (const Action& action : actions_) write_action(instance, action);
 }
 
-void Host::put(Instance& instance, const Action& action) {
+void Host::write_action(Instance& instance, const Action& action) {
     const auto head = [&](std::string_view kind) { (reply_ += kind) += " who=" + instance.name; };
     const auto request = [&](std::string_view kind, RequestId id) {
         head(kind);
@@ -466,8 +468,8 @@
                               request("DISPATCH", a.id);
                               server(a.server);
                               time(" try-until-ms", a.try_until);
-                              ++instance.requests.at(a.id).out;
-                              ++instance.servers.at(a.server).out;
+                              ++instance.requests.at(a.id).outstanding;
+                              ++instance.servers.at(a.server).outstanding;
                           },
                           [&](const Cancel& a) {
                               request("ABANDON", a.id);
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -1,5 +1,5 @@
-// The simulator's wire: a text codec and the host that runs one Balancer for each instance.
-// Nothing here chooses anything; see src/balance.cpp for the decisions.
+// Adapter to the simulator: the codec of its line protocol and the host that runs one Balancer for each
+// simulated sidecar. It decides nothing; the decisions are in src/balance.cpp.
 #pragma once
 
 #include <array>
@@ -16,12 +16,14 @@
 
 namespace cobaltshift::wire {
 
-// A line that can't be read; what() names line number, message and field.
+// A malformed line. what() names line number, message kind and field.
 struct WireError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// One line taken apart: the message's name and its name=value pairs, with typed access that throws WireError.
+// A parsed line: the message's kind and its name=value fields. The accessors throw WireError if the field is
+// missing or malformed; those with a fallback return it for a missing field. Refers to the line's text, which
+// must outlive the message.
 class Message {
 public:
     Message(std::string_view line, std::size_t number);
@@ -45,16 +47,17 @@
     std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// What START says beyond the library's settings: the names behind its integers.
-struct Site {
+// The contents of START: the library's settings and the names of the zones, classes and tenants that these
+// refer to by index.
+struct StartConfig {
     Settings settings;
     std::vector<std::string> zones;
     std::vector<std::string> classes;
     std::vector<std::string> tenants;
 
-    ZoneId zone(std::string_view name);  // a name not met before gets the next number
+    ZoneId zone(std::string_view name);  // adds a name that is new
 };
-Site read_site(const Message& start);
+StartConfig read_start(const Message& start);
 Outcome read_outcome(const Message& message);
 std::vector<std::uint8_t> read_bytes(const Message& message, std::string_view field);
 
@@ -67,24 +70,24 @@
     double units = 1;
 };
 
-// Runs until the end of input; returns the process's exit status.
+// Reads batches of events and writes the actions, until the end of input. Not thread-safe.
 class Host {
 public:
     Host(std::istream& in, std::ostream& out, std::ostream& err);
     ~Host();
-    int run();
+    int run();  // returns the process's exit status: 0, or 2 after a malformed line
 
 private:
     struct Instance;
     bool next_line(std::string& line);
-    void batch(const Message& mark);
-    void event(const Message& message);
-    void catalog(const Message& message);
-    void start(const Message& message);
-    void list(Instance& instance, const Message& message);
-    void attempt_ended(Instance& instance, const Message& message);
-    void give(Instance& instance, const Event& event);
-    void put(Instance& instance, const Action& action);
+    void run_batch(const Message& mark);
+    void handle_event(const Message& message);
+    void read_catalog(const Message& message);
+    void start_instance(const Message& message);
+    void handle_list(Instance& instance, const Message& message);
+    void handle_attempt_ended(Instance& instance, const Message& message);
+    void deliver(Instance& instance, const Event& event);
+    void write_action(Instance& instance, const Action& action);
 
     std::istream& in_;
     std::ostream& out_;
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,5 +1,5 @@
-// How a sidecar uses kelplb: feed events with their time, carry out the actions. Here one request is
-// taken, sent, fails before it ran, is sent elsewhere and served.
+// How a sidecar uses kelplb: pass events with their time, carry out the actions. Here a request arrives, is
+// sent to a server that refuses the connection, is sent to another one and completes.
 #include <iostream>
 
 #include "kelplb/balancer.hpp"
@@ -29,7 +29,7 @@
             ended.request_ended = ended.outcome == Outcome::completed;
             balancer.handle(1010 + 20 * attempt, ended, actions);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-            std::cout << "timer at " << timer->at << '\n';  // hand TimerFired{timer->token} back then
+            std::cout << "timer at " << timer->at << '\n';  // pass TimerFired{timer->token} then
         }
     }
     return attempt == 2 && balancer.held().requests == 0 ? 0 : 1;
--- a/tests/install_test.cmake
+++ b/tests/install_test.cmake
@@ -1,4 +1,5 @@
-# Installs the library, checks that only the public header went along, and uses it from a project of its own.
+# Installs the library, checks that no header but the public one is installed, and builds and runs the example
+# as a separate project.
 file(REMOVE_RECURSE ${WORK})
 file(MAKE_DIRECTORY ${WORK}/app)
 function(run)
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec and the host, on text as the simulator would write it.
+// The codec and the host, on text as the simulator writes it.
 #include "wire.hpp"
 
 #include <gtest/gtest.h>
@@ -22,127 +22,136 @@
     "M server=server_b rack-zone=hall-b kind=standard-4 pod=0 phase=on units=1.5\n";
 const std::string saved = "PEERS_KNOWN who=sidecar-3 ref=0 index=41 mode=SAVED\n";
 const std::string accept = "ACCEPT who=sidecar-3 rid=r-1 effort-ms=12.0 grade=listen time-left-ms=240.0\n";
-const std::string over = "OVER_TO_YOU\n";
+const std::string end_of_batch = "OVER_TO_YOU\n";
 
 std::string mark(int frame, double now = 1000) {
     return "MARK now-ms=" + std::to_string(now) + " frame=" + std::to_string(frame) + "\n";
 }
 
-struct Played {
+struct HostResult {
     int status;
     std::string out, err;
 };
-Played run(const std::string& input) {
+HostResult run(const std::string& input) {
     std::istringstream in(input);
     std::ostringstream out, err;
     const int status = Host(in, out, err).run();
     return {status, out.str(), err.str()};
 }
-const std::string opening = mark(1) + start_line + catalog + saved + over;
+const std::string opening = mark(1) + start_line + catalog + saved + end_of_batch;
 
 TEST(Host, EmptyBatchAndEndOfInput) {
-    const Played r = run(mark(1) + over);
+    const HostResult r = run(mark(1) + end_of_batch);
     EXPECT_EQ(r.status, 0);
     EXPECT_EQ(r.out, "END frame=1\n");
     EXPECT_EQ(run("").status, 0);
 }
 
-TEST(Host, ARequestGoesOutAndComesBack) {
-    const Played r = run(opening + mark(2, 1010) + accept + over);
+TEST(Host, RequestIsDispatchedWithATimer) {
+    const HostResult r = run(opening + mark(2, 1010) + accept + end_of_batch);
     EXPECT_EQ(r.status, 0) << r.err;
     EXPECT_NE(r.out.find("DISPATCH who=sidecar-3 rid=r-1 server=server_"), std::string::npos) << r.out;
     EXPECT_NE(r.out.find("AFTER who=sidecar-3 at-ms=1250.000 nonce="), std::string::npos) << r.out;
     EXPECT_NE(r.out.find("END frame=2\n"), std::string::npos);
 }
 
-TEST(Host, VerdictLeadsToAnotherAttemptElsewhere) {
-    const Played first = run(opening + mark(2, 1010) + accept + over);
+TEST(Host, FailedAttemptIsRetriedAtAnotherServer) {
+    const HostResult first = run(opening + mark(2, 1010) + accept + end_of_batch);
     const bool a = first.out.find("server=server_a") != std::string::npos;
     const std::string sent = a ? "server_a" : "server_b", other = a ? "server_b" : "server_a";
-    const Played r = run(opening + mark(2, 1010) + accept + over + mark(3, 1020) +
-                         "VERDICT who=sidecar-3 rid=r-1 server=" + sent +
-                         " duration-ms=10 rc=refused_conn hop=0 metrics=active:3,cpu:0.5\n" + over);
+    const HostResult r =
+        run(opening + mark(2, 1010) + accept + end_of_batch + mark(3, 1020) +
+            "VERDICT who=sidecar-3 rid=r-1 server=" + sent +
+            " duration-ms=10 rc=refused_conn hop=0 metrics=active:3,cpu:0.5\n" + end_of_batch);
     EXPECT_NE(r.out.find("DISPATCH who=sidecar-3 rid=r-1 server=" + other), std::string::npos) << r.out;
 }
 
-TEST(Host, ACatalogNumberMayBeReusedWithinABatch) {
+TEST(Host, CatalogNumberMayBeReusedWithinABatch) {
     const std::string second = "CATALOG ref=0 items=1\nM server=server_c rack-zone=hall-a pod=0 phase=on\n";
-    const Played r = run(mark(1) + start_line + catalog + saved + second +
-                         "PEERS_KNOWN who=sidecar-3 ref=0 index=42 mode=FULL\n" + accept + over);
+    const HostResult r = run(mark(1) + start_line + catalog + saved + second +
+                             "PEERS_KNOWN who=sidecar-3 ref=0 index=42 mode=FULL\n" + accept + end_of_batch);
     EXPECT_EQ(r.status, 0) << r.err;
     EXPECT_NE(r.out.find("server=server_c"), std::string::npos) << r.out;
 }
 
-TEST(Host, RestartWithinABatchForgetsEverything) {
-    const Played r =
-        run(opening + mark(2) + accept + "POWER_OFF who=sidecar-3\n" + start_line + saved + accept + over);
+TEST(Host, RestartWithinABatchClearsTheInstance) {
+    const HostResult r = run(opening + mark(2) + accept + "POWER_OFF who=sidecar-3\n" + start_line + saved +
+                             accept + end_of_batch);
     EXPECT_EQ(r.status, 0) << r.err;
 }
 
-TEST(Host, InstancesAreKeptApart) {
+TEST(Host, InstancesAreSeparate) {
     std::string other = start_line;
     other.replace(other.find("sidecar-3"), 9, "sidecar-9");
-    const Played r = run(mark(1) + start_line + other + catalog + saved + over + mark(2) +
-                         "ACCEPT who=sidecar-9 rid=r-9 grade=listen time-left-ms=240\n" + over);
+    const HostResult r = run(mark(1) + start_line + other + catalog + saved + end_of_batch + mark(2) +
+                             "ACCEPT who=sidecar-9 rid=r-9 grade=listen time-left-ms=240\n" + end_of_batch);
     EXPECT_EQ(r.status, 0);
-    EXPECT_EQ(r.out.find("DISPATCH"), std::string::npos) << "sidecar-9 was told no list";
+    EXPECT_EQ(r.out.find("DISPATCH"), std::string::npos) << "sidecar-9 has received no list";
 }
 
 TEST(Host, StaleEventsAndUnknownKindsAreSkipped) {
-    const Played r =
+    const HostResult r =
         run(opening + mark(2) + "EXPIRED who=sidecar-3 rid=never\n" +
             "VERDICT who=sidecar-3 rid=never server=server_a rc=completed hop=0 terminal=1\n" +
             "TICK_DUE who=sidecar-3 nonce=77\nHEALTH who=sidecar-3 server=server_a rc=completed\n" +
-            "MEMO who=sidecar-3 src-peer=2 msg=-\nNOVELTY who=sidecar-3 x=1\nNOVELTY x=2\n" + over);
+            "MEMO who=sidecar-3 src-peer=2 msg=-\nNOVELTY who=sidecar-3 x=1\nNOVELTY x=2\n" + end_of_batch);
     EXPECT_EQ(r.status, 0) << r.err;
-    EXPECT_EQ(r.err.find("NOVELTY"), r.err.rfind("NOVELTY")) << "reported once";
+    EXPECT_EQ(r.err.find("NOVELTY"), r.err.rfind("NOVELTY")) << "reported only once";
     EXPECT_NE(r.err.find("NOVELTY"), std::string::npos);
 }
 
-TEST(Host, MalformedInputEndsWithOneLineThatNamesThePlace) {
-    const auto complaint = [](const std::string& text) {
-        const Played r = run(text);
+TEST(Host, MalformedInputIsReportedInOneLineWithItsPlace) {
+    const auto error_of = [](const std::string& text) {
+        const HostResult r = run(text);
         EXPECT_NE(r.status, 0) << text;
         EXPECT_EQ(std::count(r.err.begin(), r.err.end(), '\n'), 1) << r.err;
         return r.err;
     };
-    const auto has = [](const std::string& text, const std::string& part) {
+    const auto expect_contains = [](const std::string& text, const std::string& part) {
         EXPECT_NE(text.find(part), std::string::npos) << text;
     };
-    has(complaint(opening + mark(2) + "ACCEPT who=sidecar-3 rid=r-1 grade=listen\n" + over),
+    expect_contains(
+        error_of(opening + mark(2) + "ACCEPT who=sidecar-3 rid=r-1 grade=listen\n" + end_of_batch),
         "line 9: ACCEPT: field 'time-left-ms'");
-    has(complaint(opening + mark(2) + "ACCEPT who=sidecar-3 rid=r grade=listen time-left-ms=abc\n" + over),
-        "'time-left-ms'");
-    has(complaint(opening + mark(2) + "ACCEPT who=sidecar-8 rid=r grade=listen time-left-ms=1\n" + over),
-        "'who'");
-    has(complaint(mark(1) + "CATALOG ref=0 items=2\nM server=a phase=on\n" + over), "'items'");
-    has(complaint(mark(1) + "CATALOG ref=16 items=0\n" + over), "'ref'");
-    has(complaint(opening + mark(2) + accept), "OVER_TO_YOU");
-    has(complaint(opening + mark(2) + "TICK_DUE who=sidecar-3 nonce=-4\n" + over), "'nonce'");
-    has(complaint(opening + mark(2) + "VERDICT who=sidecar-3 rid=r-1 server=server_a hop=0 rc=odd\n" + over),
-        "'rc'");
-    has(complaint(opening + mark(2) + "MEMO who=sidecar-3 src-peer=1 msg=abc\n" + over), "'msg'");
-    has(complaint("OVER_TO_YOU\n"), "MARK");
+    expect_contains(error_of(opening + mark(2) +
+                             "ACCEPT who=sidecar-3 rid=r grade=listen time-left-ms=abc\n" + end_of_batch),
+                    "'time-left-ms'");
+    expect_contains(error_of(opening + mark(2) + "ACCEPT who=sidecar-8 rid=r grade=listen time-left-ms=1\n" +
+                             end_of_batch),
+                    "'who'");
+    expect_contains(error_of(mark(1) + "CATALOG ref=0 items=2\nM server=a phase=on\n" + end_of_batch),
+                    "'items'");
+    expect_contains(error_of(mark(1) + "CATALOG ref=16 items=0\n" + end_of_batch), "'ref'");
+    expect_contains(error_of(opening + mark(2) + accept), "OVER_TO_YOU");
+    expect_contains(error_of(opening + mark(2) + "TICK_DUE who=sidecar-3 nonce=-4\n" + end_of_batch),
+                    "'nonce'");
+    expect_contains(error_of(opening + mark(2) +
+                             "VERDICT who=sidecar-3 rid=r-1 server=server_a hop=0 rc=odd\n" + end_of_batch),
+                    "'rc'");
+    expect_contains(error_of(opening + mark(2) + "MEMO who=sidecar-3 src-peer=1 msg=abc\n" + end_of_batch),
+                    "'msg'");
+    expect_contains(error_of("OVER_TO_YOU\n"), "MARK");
 }
 
-TEST(Host, SettingsThatMakeNoSenseBecomeAFault) {
+TEST(Host, InvalidSettingsAreReportedAsAFault) {
     std::string bad = start_line;
     bad.replace(bad.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
-    const Played r = run(mark(1) + bad + over);
+    const HostResult r = run(mark(1) + bad + end_of_batch);
     EXPECT_NE(r.out.find("FAULT who=sidecar-3 words="), std::string::npos) << r.out;
     EXPECT_NE(r.out.find("cold_from"), std::string::npos) << r.out;
 }
 
-TEST(Codec, SettingsArriveWhole) {
-    const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
-    EXPECT_EQ(site.settings.classes.size(), 2U);
-    EXPECT_EQ(site.settings.classes[1].effect, Effect::once);
-    EXPECT_EQ(site.settings.classes[0].aim, 400);
-    EXPECT_EQ(site.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(site.settings.cold_from, 0.16);
-    EXPECT_EQ(site.settings.fees.cross_zone, 0.02);
-    EXPECT_FALSE(site.settings.list_on_request);
-    EXPECT_EQ(site.classes[1], "deposit");
+TEST(Codec, SettingsAreRead) {
+    const StartConfig config =
+        read_start(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
+    EXPECT_EQ(config.settings.classes.size(), 2U);
+    EXPECT_EQ(config.settings.classes[1].effect, Effect::once);
+    EXPECT_EQ(config.settings.classes[0].aim, 400);
+    EXPECT_EQ(config.settings.my_zone, ZoneId{1});
+    EXPECT_EQ(config.settings.cold_from, 0.16);
+    EXPECT_EQ(config.settings.fees.cross_zone, 0.02);
+    EXPECT_FALSE(config.settings.list_on_request);
+    EXPECT_EQ(config.classes[1], "deposit");
 }
 
 TEST(Codec, BytesRoundTrip) {
@@ -151,26 +160,26 @@
     EXPECT_TRUE(read_bytes(Message("MEMO msg=-", 1), "msg").empty());
 }
 
-TEST(Host, AMegabyteLongBatchIsAnsweredWhole) {
+TEST(Host, MegabyteLongBatchIsAnswered) {
     std::string batch = opening + mark(2);
     for (int i = 0; i < 20000; ++i)
         batch += "ACCEPT who=sidecar-3 rid=long-" + std::to_string(i) + " grade=deposit time-left-ms=500\n";
-    const Played r = run(batch + over + mark(3, 9000) + over);
+    const HostResult r = run(batch + end_of_batch + mark(3, 9000) + end_of_batch);
     EXPECT_EQ(r.status, 0);
     EXPECT_NE(r.out.find("END frame=3\n"), std::string::npos);
 }
 
-TEST(Codec, WhatMayBeProbedAndToldArrives) {
+TEST(Codec, PermissionsArePassedOn) {
     const std::string line =
         "START who=s classes.count=1 classes.0.effect=once classes.0.name=a "
         "classes.0.on-time-ms=300 my-number=4 siblings=9 limits.may-probe=true ";
-    const std::string told = line + "limits.may-tell=true";
-    const Site some = read_site(Message(told, 1));
-    EXPECT_TRUE(some.settings.may_probe);
-    EXPECT_TRUE(some.settings.may_tell);
-    EXPECT_EQ(some.settings.my_number, 4U);
-    EXPECT_EQ(some.settings.siblings, 9U);
-    EXPECT_FALSE(read_site(Message(line, 1)).settings.may_tell) << "not allowed unless said";
+    const std::string with_tell = line + "limits.may-tell=true";
+    const StartConfig config = read_start(Message(with_tell, 1));
+    EXPECT_TRUE(config.settings.may_probe);
+    EXPECT_TRUE(config.settings.may_tell);
+    EXPECT_EQ(config.settings.my_number, 4U);
+    EXPECT_EQ(config.settings.siblings, 9U);
+    EXPECT_FALSE(read_start(Message(line, 1)).settings.may_tell) << "not permitted by default";
 }
 
 }  // namespace
