--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -5,8 +5,8 @@
 namespace cobaltshift::control {
 
 namespace {
-constexpr Millis kLostEvery = 500, kLookEvery = 100;
-constexpr std::size_t kEntryOverheadBytes = 32;
+constexpr Millis kMembershipQueryIntervalMs = 500, kSilenceCheckIntervalMs = 100;
+constexpr std::size_t kEntryOverheadBytes = 32, kMaxForwardedMessages = 16;
 }  // namespace
 
 raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders) {
@@ -38,11 +38,11 @@
       raft_(settings.agree, std::move(stored), now, draw),
       lost_at_(now + settings.lost_after) {
     if (!raft_.snapshot().data.empty() && !state_machine_.load(raft_.snapshot().data))
-        throw raft::Broken("the snapshot is no state_machine");
+        throw raft::Broken("the stored snapshot can't be decoded as a configuration state machine");
     applied_ = raft_.snapshot().index;
 }
 
-// ---- Time, messages --------------------------------------------------------------------------------------
+// ---- Time and messages -----------------------------------------------------------------------------------
 
 Millis Replica::due() const {
     Millis due = std::min(raft_.due(), lost_at_);
@@ -52,54 +52,57 @@
 
 void Replica::tick(Millis now) {
     raft_.tick(now);
-    if (raft_.leads()) look_after_silent(now);
-    // Dropped while it was cut off, perhaps; or its leader is at an address that it doesn't know of.
+    if (raft_.leads()) remove_silent_member(now);
+    // Without a leader for long, this member may have been removed while it was partitioned, or the leader
+    // may be a node whose address it doesn't know. It asks all known nodes with a prevote request that has no
+    // receiver id; the leader replies `gone` if it is no member.
     if (raft_.role() == raft::RaftNode::Role::leader) {
         lost_at_ = now + settings_.lost_after;
     } else if (now >= lost_at_) {
-        lost_at_ = now + kLostEvery;
+        lost_at_ = now + kMembershipQueryIntervalMs;
         if (!raft_.retired() && !raft_.members().empty()) {
-            raft::Message lost;
-            lost.kind = raft::Message::Kind::ask_prevote;
-            lost.fleet = settings_.agree.fleet;
-            lost.from = raft_.id();
-            lost.number = settings_.agree.number;
-            lost.run = raft_.run();
-            lost.term = raft_.term() + 1;
-            lost.last = raft_.last();
-            to_all_.push_back(std::move(lost));
+            raft::Message query;
+            query.kind = raft::Message::Kind::ask_prevote;
+            query.fleet = settings_.agree.fleet;
+            query.from = raft_.id();
+            query.number = settings_.agree.number;
+            query.run = raft_.run();
+            query.term = raft_.term() + 1;
+            query.last = raft_.last();
+            to_all_.push_back(std::move(query));
         }
     }
-    look(now);
+    process_waiting(now);
 }
 
-void Replica::on_message(Millis now, const raft::Message& message, bool passed_on) {
+void Replica::on_message(Millis now, const raft::Message& message, bool forwarded) {
     using Kind = raft::Message::Kind;
     const bool leads = raft_.role() == raft::RaftNode::Role::leader;
-    const bool asks =
-        message.kind == Kind::join || (message.kind == Kind::ask_prevote && message.to == raft::kNobody);
-    if (asks && !leads) {
-        // To whoever leads, where it is another's to decide.
-        const auto leader = passed_on ? std::nullopt : raft_.leader_number();
+    const bool for_leader =
+        message.kind == Kind::join || (message.kind == Kind::ask_prevote && message.to == raft::kNoMember);
+    if (for_leader && !leads) {
+        // Only the leader can decide, so the request is forwarded to it once.
+        const auto leader = forwarded ? std::nullopt : raft_.leader_number();
         if (!leader || *leader == message.number || message.from == raft_.id()) return;
         raft::Message copy = message;
         copy.to_number = *leader;
-        if (passed_on_.size() < 16) passed_on_.push_back(std::move(copy));
+        if (forwarded_.size() < kMaxForwardedMessages) forwarded_.push_back(std::move(copy));
         return;
     }
-    if (message.kind == Kind::ask_prevote && message.to == raft::kNobody) {
-        raft::Message mine = message;
-        mine.to = raft_.id();
+    if (message.kind == Kind::ask_prevote && message.to == raft::kNoMember) {
+        raft::Message own_copy = message;
+        own_copy.to = raft_.id();
         const auto& members = raft_.members();
         const bool member = std::any_of(members.begin(), members.end(),
                                         [&](const auto& one) { return one.id == message.from; });
         if (!member && message.term > raft_.term() + 1) {
-            // It stood in a term that nobody here heard of. It takes no word from an older one: a new one is
-            // needed.
-            mine.kind = Kind::prevote;
-            --mine.term;
+            // The former member has a higher term than this leader and would ignore a `gone` with a lower
+            // one. A refused prevote with its term makes this leader step down, so that the next one is
+            // elected in a higher term.
+            own_copy.kind = Kind::prevote;
+            --own_copy.term;
         }
-        raft_.on_message(now, mine);
+        raft_.on_message(now, own_copy);
         return;
     }
     raft_.on_message(now, message);
@@ -108,7 +111,7 @@
         leader_heard_ = now, lost_at_ = now + settings_.lost_after;
 }
 
-std::uint32_t Replica::fresh_leader(Millis now) const {
+std::uint32_t Replica::recent_leader(Millis now) const {
     if (raft_.role() == raft::RaftNode::Role::leader || now > leader_heard_ + settings_.leader_fresh)
         return 0;
     return raft_.leader_number().value_or(0);
@@ -116,10 +119,10 @@
 
 // ---- Members ---------------------------------------------------------------------------------------------
 
-// What the RaftNode leaves to its caller: members that are gone for good, so that the next loss finds a
-// majority.
-void Replica::look_after_silent(Millis now) {
-    if (now < looked_at_ + kLookEvery || raft_.changing()) return;
+// Removes a member that has been silent for long, so that the next failure still leaves a majority. RaftNode
+// leaves this decision to its caller.
+void Replica::remove_silent_member(Millis now) {
+    if (now < looked_at_ + kSilenceCheckIntervalMs || raft_.changing()) return;
     looked_at_ = now;
     std::size_t heard = 0;
     const raft::Member* silent = nullptr;
@@ -127,25 +130,25 @@
         const auto peer = raft_.peers().find(member.id);
         const bool own = member.id == raft_.id();
         if (!own && peer == raft_.peers().end()) continue;
-        if (own || now <= peer->second.heard + settings_.heard_within)
+        if (own || now <= peer->second.heard + settings_.live_within)
             heard += member.voter;
         else if (now > peer->second.heard + settings_.removed_after)
             silent = &member;
     }
-    // One without a vote is dropped whatever is heard: it adds nothing, and may hold a place.
-    if (!silent || (silent->voter && heard < settings_.least_voters)) return;
+    // A silent learner is always removed: it doesn't count for the majority and occupies a member slot.
+    if (!silent || (silent->voter && heard < settings_.min_live_voters)) return;
     counts_.removals += raft_.remove(silent->number);
 }
 
 bool Replica::hand_over(Millis now) { return raft_.transfer_leadership(now); }
 
-// ---- The operator's calls --------------------------------------------------------------------------------
+// ---- Operator requests -----------------------------------------------------------------------------------
 
-void Replica::wait(Millis now, Waiting waiting) {
+void Replica::enqueue(Millis now, Waiting waiting) {
     waiting.until = now + settings_.answer_within;
-    const std::uint32_t elsewhere = fresh_leader(now);
+    const std::uint32_t elsewhere = recent_leader(now);
     if (!raft_.leads() || raft_.retired() || raft_.transferring_leadership() ||
-        waiting_.size() >= settings_.most_waiting) {
+        waiting_.size() >= settings_.max_waiting) {
         const bool known = !raft_.leads() && elsewhere != 0;
         Reply reply;
         reply.kind = known ? Reply::Kind::elsewhere : Reply::Kind::unavailable;
@@ -153,7 +156,7 @@
         return answer(waiting, std::move(reply));
     }
     waiting_.push_back(std::move(waiting));
-    look(now);
+    process_waiting(now);
 }
 
 void Replica::change(Millis now, std::uint64_t client, config::Change change) {
@@ -161,13 +164,13 @@
     waiting.client = client;
     waiting.is_change = true;
     waiting.change = std::move(change);
-    wait(now, std::move(waiting));
+    enqueue(now, std::move(waiting));
 }
 
 void Replica::read(Millis now, std::uint64_t client) {
     Waiting waiting;
     waiting.client = client;
-    wait(now, std::move(waiting));
+    enqueue(now, std::move(waiting));
 }
 
 void Replica::answer(Waiting& waiting, Reply reply) {
@@ -176,10 +179,10 @@
     replies_.push_back(std::move(reply));
 }
 
-// True: answered.
-bool Replica::look_at(Waiting& one) {
+// Returns true if the request has been answered.
+bool Replica::try_answer(Waiting& one) {
     using Kind = config::ChangeOutcome::Kind;
-    if (one.index != 0) return false;  // on its way
+    if (one.index != 0) return false;  // proposed, not committed yet
     const auto ask = [&] {
         if (one.question == 0 && raft_.confirm(next_question_)) one.question = next_question_++;
         return false;
@@ -192,30 +195,30 @@
         reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::nothing_yet;
         return answer(one, std::move(reply)), true;
     }
-    if (busy_) return false;  // judged against what comes of the one before
-    config::ChangeOutcome verdict = state_machine_.check(one.change);
-    reply.edition = verdict.edition;
-    if (verdict.kind == Kind::taken) {
+    if (busy_) return false;  // is validated against the result of the change in flight
+    config::ChangeOutcome outcome = state_machine_.check(one.change);
+    reply.edition = outcome.edition;
+    if (outcome.kind == Kind::taken) {
         const auto index = raft_.propose(encode(one.change));
         if (!index) return answer(one, Reply()), true;
         one.index = *index;
         busy_ = true;
         return false;
     }
-    if (verdict.kind == Kind::already) {  // committed, whoever leads now
+    if (outcome.kind == Kind::already) {  // committed before, so no confirmation is needed
         reply.kind = Reply::Kind::taken;
         return answer(one, std::move(reply)), true;
     }
     if (!one.confirmed) return ask();
     ++counts_.refused;
-    reply.kind = verdict.kind == Kind::stale ? Reply::Kind::stale : Reply::Kind::invalid;
-    reply.complaints = std::move(verdict.complaints);
+    reply.kind = outcome.kind == Kind::stale ? Reply::Kind::stale : Reply::Kind::invalid;
+    reply.complaints = std::move(outcome.complaints);
     return answer(one, std::move(reply)), true;
 }
 
-void Replica::look(Millis now) {
+void Replica::process_waiting(Millis now) {
     const bool leads = raft_.leads() && !raft_.retired() && raft_.term() == term_;
-    // A change whose caller has been sent away is on its way still, as long as this hub leads.
+    // A change whose caller timed out stays in flight as long as this node leads.
     if (!leads) busy_ = false, term_ = raft_.term();
     const bool current = applied_ >= raft_.commit();
     for (Waiting& one : waiting_) {
@@ -223,20 +226,20 @@
             if (leads) ++counts_.late;
             answer(one, Reply());
         } else if (current) {
-            look_at(one);
+            try_answer(one);
         }
     }
     std::erase_if(waiting_, [](const Waiting& one) { return one.client == 0; });
 }
 
-// ---- What is to be done ----------------------------------------------------------------------------------
+// ---- Output ----------------------------------------------------------------------------------------------
 
 void Replica::apply(const raft::Ready& ready, Output& output) {
     const config::Edition before = state_machine_.edition();
     if (ready.restored) {
-        // At the start it was read by the constructor.
+        // The constructor has already loaded the snapshot of the first Ready.
         if (ready.restored->index != applied_ && !state_machine_.load(ready.restored->data))
-            throw raft::Broken("the snapshot is no state_machine");
+            throw raft::Broken("the received snapshot can't be decoded as a configuration state machine");
         applied_ = ready.restored->index;
         checkpoint_.reset();
         checkpoint_bytes_ = log_bytes_ = 0;
@@ -248,20 +251,20 @@
         log_bytes_ += bytes;
         if (one.entry.kind != raft::Entry::Kind::data) continue;
         const auto change = config::decode_change(one.entry.data);
-        const config::ChangeOutcome verdict =
+        const config::ChangeOutcome outcome =
             change ? state_machine_.apply(*change) : config::ChangeOutcome();
         busy_ = false;
         for (Waiting& waiting : waiting_) {
             if (waiting.index != one.index) continue;
             waiting.index = 0;
-            // Another leader's entry may stand where ours was to be.
-            if (verdict.kind != config::ChangeOutcome::Kind::taken || !change ||
+            // After a change of leader, the entry at this index may be another one than was proposed here.
+            if (outcome.kind != config::ChangeOutcome::Kind::taken || !change ||
                 change->body != waiting.change.body || change->if_match != waiting.change.if_match)
                 continue;
             ++counts_.taken;
             Reply reply;
             reply.kind = Reply::Kind::taken;
-            reply.edition = verdict.edition;
+            reply.edition = outcome.edition;
             answer(waiting, std::move(reply));
         }
     }
@@ -277,8 +280,9 @@
     if (applied_ - since < settings_.checkpoint_entries && checkpoint_bytes_ < settings_.checkpoint_bytes)
         return;
     if (checkpoint_) {
-        // A member that lags would have to be sent the state once more, and once more after that.
-        const bool needed = raft_.held_by_all(now) < checkpoint_->index;
+        // If the log is compacted now, a lagging member needs a snapshot, and may lag behind the next
+        // checkpoint again by the time it is transferred.
+        const bool needed = raft_.replicated_to_all(now) < checkpoint_->index;
         if (needed && log_bytes_ < settings_.lagging_log_bytes) return;
         raft_.compact(checkpoint_->index, std::move(checkpoint_->state));
         log_bytes_ = checkpoint_bytes_;
@@ -301,15 +305,16 @@
     replies_.clear();
     output.to_all = std::move(to_all_);
     to_all_.clear();
-    for (raft::Message& message : passed_on_) output.ready.messages.push_back(std::move(message));
-    passed_on_.clear();
+    for (raft::Message& message : forwarded_) output.ready.messages.push_back(std::move(message));
+    forwarded_.clear();
     return output;
 }
 
-// Nothing is asked or proposed between take() and stored().
+// Waiting requests are processed here: nothing may be proposed or confirmed between take_output() and
+// persisted().
 void Replica::persisted() {
     raft_.persisted();
-    look(now_);
+    process_waiting(now_);
 }
 
 }  // namespace cobaltshift::control
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -1,15 +1,17 @@
-// One hub's replica of the configuration: the agreement (raft::RaftNode), the state machine that it leads to,
-// and, while this hub leads, the operator's calls that wait. Entry type: Replica, called by
-// control_io::ControlNode on the hubs and by tests; free of I/O. Standard terms: replicated state machine
-// over Raft, linearizable reads by read-index.
+// A control node's replica of the configuration: a replicated state machine over Raft (raft::RaftNode) with
+// linearizable reads by read-index. On the leader it also holds the operator requests that wait for an
+// answer. Main type: Replica, used by ControlNode (control_io) and by simulations. Free of I/O and not
+// thread-safe.
 //
-// Events go in with their time; after each, while ready(): take(), carry it out in its order (keep and sync,
-// stored(), send, answer). See agree/raft.hpp for why.
+// The caller passes in events with the current time. After each one, while has_output(), it calls
+// take_output() and carries out the result in order: write and sync, persisted(), send, apply, reply.
+// raft/raft_node.hpp says why the order matters.
 //
-// Invariants: 200 leaves only for a change that is committed and applied here, or for a reading after a
-// majority's word that this hub leads still; so do 400 and 412, as a hub that was cut off knows no better;
-// one change at a time is on its way, judged against all before it; whoever waits is answered once, within
-// `answer_within`.
+// Invariants:
+//   A change is reported as taken only after it is committed and applied here. A configuration, a stale
+//   version and an invalid change are reported only after a majority has confirmed that this node still
+//   leads, because a partitioned leader may judge by an outdated state. At most one change is in flight; the
+//   next one is validated against its result. Every request gets exactly one reply, within `answer_within`.
 #pragma once
 
 #include <deque>
@@ -20,77 +22,79 @@
 #include "raft/raft_node.hpp"
 
 namespace cobaltshift::check {
-struct DescribeReplica;  // of the explicit-state check (sim_mesh/control_check): reads all that a replica
-                         // knows
+struct DescribeReplica;  // explicit-state model checker in sim_mesh: reads the complete state of a replica
 }
 
 namespace cobaltshift::control {
 
 using raft::Millis;
 
-// Sent to one member and not yet acknowledged: a link of 6.4 Mbit/s carries it well within an election's
-// time.
+// Limit of the bytes in flight to one member. A link of 6.4 Mbit/s transfers them in well under an election
+// timeout.
 constexpr std::size_t kWindowBytes = 128 * 1024;
 
 struct ReplicaSettings {
     raft::Settings agree{.batch_bytes = kWindowBytes / 2, .window_bytes = kWindowBytes};
-    Millis answer_within = 900;   // of a call that waits
-    Millis leader_fresh = 500;    // heard within: callers are sent there
-    Millis removed_after = 2500;  // a member unheard so long is dropped,
-    Millis heard_within = 1000;   // if so many voters remain that were heard within this:
-    std::size_t least_voters = 3;
-    Millis lost_after = 1500;  // without a leader: asks all hubs known whether it is a member still
-    // A checkpoint of the state is taken after so many entries, or so many bytes of them. The log is
-    // compacted to the checkpoint before the newest, so that a member that lags a little is sent entries, not
-    // a snapshot.
+    // A waiting request gets `unavailable` after this time.
+    Millis answer_within = 900;
+    // Requests are redirected only to a leader that was heard from within this time.
+    Millis leader_fresh = 500;
+    // A voter that has been silent for `removed_after` is removed, if at least `min_live_voters` voters were
+    // heard from within `live_within`.
+    Millis removed_after = 2500;
+    Millis live_within = 1000;
+    std::size_t min_live_voters = 3;
+    // Time without a leader after which a member asks all known nodes whether it is still a member.
+    Millis lost_after = 1500;
+    // A checkpoint of the state is made after this many entries or bytes of entries. The log is compacted up
+    // to the last checkpoint but one, so that a member that lags slightly gets entries instead of a snapshot.
     std::size_t checkpoint_entries = 64;
     std::size_t checkpoint_bytes = 256 * 1024;
-    // The log may grow to this while a member that is heard lags behind the checkpoint.
+    // Compaction is postponed up to this log size while a reachable member lags behind the checkpoint.
     std::size_t lagging_log_bytes = 4 * 1024 * 1024;
-    std::size_t most_waiting = 256;  // calls; further ones are sent away
+    std::size_t max_waiting = 256;  // waiting requests; further ones get `unavailable` at once
 };
 
-// A member's number is its IPv4 in host order. What the three founders' folders hold before their first
-// start.
+// Initial persistent state of a founding member. A member's number is its IPv4 address in host byte order.
 raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders);
 
 struct Reply {
     enum class Kind : std::uint8_t { config, nothing_yet, taken, stale, invalid, elsewhere, unavailable };
-    std::uint64_t client = 0;
+    std::uint64_t client = 0;  // as passed to change() or read()
     Kind kind = Kind::unavailable;
-    config::Edition edition = 0;                           // taken: the change's; stale: the current one
-    std::uint32_t leader = 0;                              // elsewhere: its IPv4
-    std::vector<std::string> complaints;                   // invalid
-    std::shared_ptr<const config::Configuration> current;  // config
+    config::Edition edition = 0;                           // taken: of the change; stale: the current one
+    std::uint32_t leader = 0;                              // elsewhere: IPv4 address in host byte order
+    std::vector<std::string> complaints;                   // invalid: the validation errors
+    std::shared_ptr<const config::Configuration> current;  // config: what was read
 };
 
-// Of a reading, as a node that starts asks for it.
+// Converts the reply to a read() into the answer for a starting node that asks for the current edition.
 config::CurrentAnswer current_answer(const Reply& reply);
 
 struct Output {
     raft::Ready ready;
-    std::vector<raft::Message> to_all;  // for every hub known, with the same promise as ready.messages
+    std::vector<raft::Message> to_all;  // to every known control node; like ready.messages, after persisted()
     std::vector<Reply> replies;
-    std::shared_ptr<const config::Configuration> newest;  // applied with this, if any
+    std::shared_ptr<const config::Configuration> newest;  // current configuration, if this output changed it
 };
 
 class Replica {
 public:
-    // Throws raft::Broken, also where a snapshot is no state machine.
+    // Throws raft::Broken if the stored state is inconsistent or its snapshot can't be decoded.
     Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw);
 
     void tick(Millis now);
-    Millis due() const;  // of the next tick
-    // `passed_on`: by another hub; goes no further.
-    void on_message(Millis now, const raft::Message& message, bool passed_on);
+    Millis due() const;  // time of the next tick()
+    // `forwarded`: received through another node, so that it must not be forwarded again.
+    void on_message(Millis now, const raft::Message& message, bool forwarded);
     void change(Millis now, std::uint64_t client, config::Change change);
     void read(Millis now, std::uint64_t client);
-    // This member is about to stop: the lead goes to another. Calls that come later are sent away. True:
-    // asked; leads() turns false once another leads.
+    // Starts a leadership transfer before a planned stop. Requests that arrive later are turned away. True:
+    // the transfer was started; RaftNode::leads() becomes false once another member leads.
     bool hand_over(Millis now);
 
     bool has_output() const {
-        return raft_.has_ready() || !replies_.empty() || !passed_on_.empty() || !to_all_.empty();
+        return raft_.has_ready() || !replies_.empty() || !forwarded_.empty() || !to_all_.empty();
     }
     Output take_output(Millis now);
     void persisted();
@@ -111,16 +115,16 @@
         bool is_change = false;
         config::Change change;
         Millis until = 0;
-        std::uint64_t question = 0;  // to the majority; 0: none
-        bool confirmed = false;
-        raft::Index index = 0;  // of a change on its way; 0: not yet
+        std::uint64_t question = 0;  // id of the read-index request; 0: none
+        bool confirmed = false;      // a majority has confirmed the leadership since it was requested
+        raft::Index index = 0;       // log index of a proposed change; 0: not proposed yet
     };
-    std::uint32_t fresh_leader(Millis now) const;  // 0: none
-    void wait(Millis now, Waiting waiting);
+    std::uint32_t recent_leader(Millis now) const;  // IPv4 address of a recently heard leader; 0: none
+    void enqueue(Millis now, Waiting waiting);
     void answer(Waiting& waiting, Reply reply);
-    void look(Millis now);
-    bool look_at(Waiting& waiting);
-    void look_after_silent(Millis now);
+    void process_waiting(Millis now);
+    bool try_answer(Waiting& waiting);
+    void remove_silent_member(Millis now);
     void apply(const raft::Ready& ready, Output& output);
     void checkpoint(Millis now);
 
@@ -128,19 +132,20 @@
     raft::RaftNode raft_;
     config::ConfigStateMachine state_machine_;
     raft::Index applied_ = 0;
-    std::size_t checkpoint_bytes_ = 0, log_bytes_ = 0;  // of entries since the newest checkpoint; in the log
+    std::size_t checkpoint_bytes_ = 0;  // entries applied since the newest checkpoint
+    std::size_t log_bytes_ = 0;         // entries in the log
     struct Checkpoint {
         raft::Index index = 0;
         std::string state;
     };
-    std::optional<Checkpoint> checkpoint_;  // the newest; the log still holds what led to it
+    std::optional<Checkpoint> checkpoint_;  // the newest one, to which the log has not been compacted yet
     Millis now_ = 0, leader_heard_ = -1e18, lost_at_ = 0, looked_at_ = 0;
-    bool busy_ = false;    // a change is on its way
-    raft::Term term_ = 0;  // in which it is
+    bool busy_ = false;    // a change is in flight
+    raft::Term term_ = 0;  // the term it was proposed in
     std::deque<Waiting> waiting_;
     std::uint64_t next_question_ = 1;
     std::vector<Reply> replies_;
-    std::vector<raft::Message> passed_on_, to_all_;
+    std::vector<raft::Message> forwarded_, to_all_;
     Counts counts_;
 };
 
--- a/src/control_io/config_resource.cpp
+++ b/src/control_io/config_resource.cpp
@@ -55,7 +55,7 @@
     if (request.method == "PUT" || request.method == "PATCH") {
         const auto base = config::parse_if_match(request.if_match);
         if (!base) return done(invalid({"If-Match: is missing, or is no version"})), true;
-        if (request.body.size() > kLongestBody) return done(refused(413, "the body is too long")), true;
+        if (request.body.size() > kMaxBodyBytes) return done(refused(413, "the body is too long")), true;
         change.emplace();
         change->kind = request.method == "PUT" ? config::Change::Kind::put : config::Change::Kind::patch;
         change->if_match = *base;
@@ -63,14 +63,14 @@
     } else if (request.method != "GET") {
         return done(refused(405, "GET, PUT and PATCH are what there is")), true;
     }
-    if (calls_.size() >= kMostCalls) return done(refused(503, "too many calls are open")), true;
+    if (calls_.size() >= kMaxOpenCalls) return done(refused(503, "too many calls are open")), true;
     const std::uint64_t client = next_++;
     calls_[client] = {request.target, std::move(done)};
     if (!ask_(client, std::move(change))) reply({client, Reply::Kind::unavailable, 0, 0, {}, nullptr});
     return true;
 }
 
-void ConfigResource::dismiss_all() {
+void ConfigResource::reject_all() {
     const auto calls = std::exchange(calls_, {});
     for (const auto& [client, call] : calls) call.done(refused(503, "the hubs don't agree just now"));
 }
--- a/src/control_io/config_resource.hpp
+++ b/src/control_io/config_resource.hpp
@@ -1,6 +1,6 @@
-// GET, PUT and PATCH of /api/config, as the operator calls them. Entry type: ConfigResource, a Resource that
-// whoever listens at the `control` address asks. Called through ControlNode::config(); carries the calls to
-// the replica and its replies back.
+// The operator's HTTP API: GET, PUT and PATCH of /api/config. Main type: ConfigResource, a Resource that is
+// registered with the server at the `control` address through ControlNode::config(). It passes requests to
+// the replica and turns the replica's replies into HTTP responses. Not thread-safe: runs on the event loop.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,19 @@
 
 namespace cobaltshift::control {
 
-constexpr std::size_t kLongestBody = raft::kMaxEntryBytes - 256;
-constexpr std::size_t kMostCalls = 128;  // open at once
+constexpr std::size_t kMaxBodyBytes = raft::kMaxEntryBytes - 256;  // leaves room for the entry's other fields
+constexpr std::size_t kMaxOpenCalls = 128;                         // further requests get 503
 
 class ConfigResource : public Resource {
 public:
-    // To the replica: a reading where there is no change. False: there is no replica now.
+    // Passes a request to the replica: a change, or a read if there is none. False: no replica is running.
     using Ask = std::function<bool(std::uint64_t client, std::optional<config::Change>)>;
     ConfigResource(std::uint16_t control_port, Ask ask) : control_port_(control_port), ask_(std::move(ask)) {}
 
     bool handle(const ApiRequest& request, std::function<void(ApiAnswer)> done) override;
     void reply(const Reply& reply);
-    // The replica is gone: whoever waits is told so (503).
-    void dismiss_all();
+    // Answers all open calls with 503, because the replica has stopped.
+    void reject_all();
     std::size_t open() const { return calls_.size(); }
 
 private:
--- a/src/control_io/control_node.cpp
+++ b/src/control_io/control_node.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::uint64_t kFleet =
-    0x5349474e414c0001;  // of all hubs that speak this; the last digits are the format's
-constexpr std::size_t kMostHubs = 64;
+constexpr std::uint64_t kClusterId =
+    0x5349474e414c0001;  // cluster id of all control nodes; the last four digits are the protocol version
+constexpr std::size_t kMaxControlNodes = 64;
 
 raft::Millis now() {
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 
-std::uint64_t drawn() {
+std::uint64_t random_id() {
     std::uint64_t value = 0;
     while (value == 0)
         if (::getrandom(&value, sizeof value, 0) != sizeof value) value = 0;
@@ -74,15 +74,15 @@
     distributor_.on_ask_current = [this](std::function<void(config::CurrentAnswer)> done) {
         ask_current(std::move(done));
     };
-    settings_.agree.fleet = kFleet;
+    settings_.agree.fleet = kClusterId;
     settings_.agree.number = ip_;
     settings_.agree.keepers = UINT32_MAX;
     settings_.agree.heartbeat = 100;
     settings_.agree.election = 450;
     for (const auto& seed : boot.seeds) seeds_.push_back(seed.address().to_v4().to_uint());
     peers_ = std::make_unique<Peers>(io, boot.ip, static_cast<std::uint16_t>(boot.first_port + 2),
-                                     [this](const raft::Message& message, bool passed_on) {
-                                         event([&] { replica_->on_message(now(), message, passed_on); });
+                                     [this](const raft::Message& message, bool forwarded) {
+                                         event([&] { replica_->on_message(now(), message, forwarded); });
                                      });
     open();
 }
@@ -93,55 +93,55 @@
     halt();
 }
 
-// ---- The folder ------------------------------------------------------------------------------------------
+// ---- Store -----------------------------------------------------------------------------------------------
 
 void ControlNode::open() {
     replica_.reset();
-    store_.reset();  // before it is opened anew
+    store_.reset();  // LevelDB must be closed before the same folder is opened again
     try {
-        store_ = std::make_unique<Store>(boot_.data_dir + "/signalbox", kFleet);
-        auto stored = store_->take();
+        store_ = std::make_unique<Store>(boot_.data_dir + "/signalbox", kClusterId);
+        auto stored = store_->take_stored();
         if (!store_->why().empty())
-            log_line("SB021 folder set aside",
-                     "the folder is torn or rotten and was set aside: " + store_->why(),
+            log_line("SB021 folder set aside", "the store is damaged and was set aside: " + store_->why(),
                      {{"why", store_->why()}});
         if (!stored) {
             const bool founder = boot_.first_boot && store_->why().empty() &&
                                  std::find(seeds_.begin(), seeds_.end(), ip_) != seeds_.end();
-            stored = founder ? bootstrap(kFleet, ip_, seeds_)
-                             : raft::newcomer(kFleet, raft::kFirstDrawn + (drawn() >> 4));
+            stored = founder ? bootstrap(kClusterId, ip_, seeds_)
+                             : raft::newcomer(kClusterId, raft::kFirstDrawn + (random_id() >> 4));
             store_->begin(*stored);
             log_line(founder ? "SB004 founder" : "SB002 newcomer",
-                     founder ? "one of the first hubs: " + text_of(stored->snapshot.members)
-                             : std::string("a new life without a vote: asks to be taken in"));
+                     founder ? "starting as a founding member of " + text_of(stored->snapshot.members)
+                             : std::string("starting as a new member without a vote; asking to join"));
         }
-        store_->starts(++stored->starts);
-        replica_ = std::make_unique<Replica>(settings_, std::move(*stored), now(), drawn());
-        if (disk_ != "ready") log_line("SB003 folder open", "the folder is open", {{"disk", boot_.data_dir}});
+        store_->record_start(++stored->starts);
+        replica_ = std::make_unique<Replica>(settings_, std::move(*stored), now(), random_id());
+        if (disk_ != "ready") log_line("SB003 folder open", "the store is open", {{"disk", boot_.data_dir}});
         disk_ = "ready";
-    } catch (const StoreRefuses& fault) {
-        return refuses(fault.what());
+    } catch (const StoreFailure& fault) {
+        return on_store_failure(fault.what());
     }
     event([] {});
 }
 
-void ControlNode::refuses(const std::string& why) {
+void ControlNode::on_store_failure(const std::string& why) {
     disk_ = "refuses: " + why;
-    log_line("SB020 disk refuses", "nothing is agreed here until the folder can be written: " + why,
+    log_line("SB020 disk refuses", "the replica is stopped until the store can be written again: " + why,
              {{"why", why}});
     replica_.reset();
     store_.reset();
     timer_.cancel();
-    store_timer_.expires_after(kStoreAgain);
+    store_timer_.expires_after(kStoreRetryDelay);
     store_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (!ec && *alive && !stopped_ && !replica_) guarded([this] { open(); });
     });
-    dismiss_all();
+    reject_all();
 }
 
-// ---- The order of what is done ---------------------------------------------------------------------------
+// ---- Event processing ------------------------------------------------------------------------------------
 
-// What came together is kept together: the pump waits until all that has been read is taken in.
+// Passes one event to the replica and schedules pump(). The pump runs after all handlers that are ready now,
+// so that events that arrive together are persisted with one sync.
 void ControlNode::event(const std::function<void()>& what) {
     if (stopped_ || !replica_) return;
     guarded(what);
@@ -156,14 +156,15 @@
 void ControlNode::guarded(const std::function<void()>& what) {
     try {
         what();
-    } catch (const std::exception& fault) {  // raft::Broken, StoreForeign
-        over(fault.what());
+    } catch (const std::exception& fault) {  // raft::Broken, StoreMismatch
+        fail(fault.what());
     }
 }
 
-void ControlNode::over(const std::string& why) {
-    log_line("SB030 hub stops", "this hub can't go on: " + why, {{"why", why}});
-    if (!std::exchange(told_over_, true) && on_over) asio::post(io_, [told = on_over, why] { told(why); });
+void ControlNode::fail(const std::string& why) {
+    log_line("SB030 hub stops", "fatal error, the control node stops: " + why, {{"why", why}});
+    if (!std::exchange(fatal_reported_, true) && on_over)
+        asio::post(io_, [report = on_over, why] { report(why); });
     halt();
 }
 
@@ -171,9 +172,9 @@
     const bool own = message.number == ip_;
     if (message.kind != raft::Message::Kind::join || !own)
         return peers_->send(message.to_number, message, !own);
-    // To nobody in particular: to all that may be hubs.
+    // A join request has no receiver: it goes to all nodes that may be control nodes.
     for (const std::uint32_t ip : seeds_) peers_->send(ip, message, false);
-    for (const std::uint32_t ip : hubs_)
+    for (const std::uint32_t ip : control_nodes_)
         if (std::find(seeds_.begin(), seeds_.end(), ip) == seeds_.end()) peers_->send(ip, message, false);
 }
 
@@ -183,28 +184,29 @@
         if (output.ready.writes()) {
             const raft::Millis before = now();
             try {
-                store_->keep(output.ready);
-            } catch (const StoreRefuses& fault) {
-                return refuses(fault.what());
+                store_->persist(output.ready);
+            } catch (const StoreFailure& fault) {
+                return on_store_failure(fault.what());
             }
             longest_sync_ = std::max(longest_sync_, now() - before);
         }
         if (output.ready.retired) {
             replica_.reset();
-            log_line("SB014 no member any more", "dropped while it was away: a new life without a vote");
+            log_line("SB014 no member any more",
+                     "removed from the members; starting over as a new member without a vote");
             try {
-                store_->begin(raft::newcomer(kFleet, raft::kFirstDrawn + (drawn() >> 4)));
-            } catch (const StoreRefuses& fault) {
-                return refuses(fault.what());
+                store_->begin(raft::newcomer(kClusterId, raft::kFirstDrawn + (random_id() >> 4)));
+            } catch (const StoreFailure& fault) {
+                return on_store_failure(fault.what());
             }
-            dismiss_all();
+            reject_all();
             return open();
         }
         replica_->persisted();
         for (const raft::Message& message : output.ready.messages) send(message);
         for (const raft::Message& message : output.to_all) {
             std::vector<std::uint32_t> all = seeds_;
-            all.insert(all.end(), hubs_.begin(), hubs_.end());
+            all.insert(all.end(), control_nodes_.begin(), control_nodes_.end());
             for (const raft::Member& member : replica_->raft().members()) all.push_back(member.number);
             std::sort(all.begin(), all.end());
             all.erase(std::unique(all.begin(), all.end()), all.end());
@@ -223,8 +225,8 @@
         }
     }
     if (stopped_ || !replica_) return;
-    tell();
-    if (stopping_ && nothing_left()) return halt();
+    log_changes();
+    if (stopping_ && drained()) return halt();
     schedule();
 }
 
@@ -236,28 +238,28 @@
     });
 }
 
-void ControlNode::tell() {
+void ControlNode::log_changes() {
     const raft::RaftNode& raft = replica_->raft();
     const std::uint32_t leader = raft.leader_number().value_or(0);
     if (const bool leads = raft.leads(); leads != std::exchange(led_, leads))
         log_line(leads ? "SB012 leader elected" : "SB013 leads no more",
-                 (leads ? "this hub leads in term " : "this hub leads no more; term ") +
+                 (leads ? "this node is the leader of term " : "this node is no longer the leader; term ") +
                      std::to_string(raft.term()),
                  {{"term", raft.term()}});
-    if (leader != 0 && leader != std::exchange(told_leader_, leader) && leader != ip_)
+    if (leader != 0 && leader != std::exchange(logged_leader_, leader) && leader != ip_)
         log_line("SB011 follows", "follows " + text_of(leader),
                  {{"leader", text_of(leader)}, {"term", raft.term()}});
-    if (std::string members = text_of(raft.members()); members != told_members_) {
+    if (std::string members = text_of(raft.members()); members != logged_members_) {
         log_line("SB015 members", "the members are " + members, {{"members", members}});
-        told_members_ = std::move(members);
+        logged_members_ = std::move(members);
     }
 }
 
-// ---- From outside ----------------------------------------------------------------------------------------
+// ---- Control ---------------------------------------------------------------------------------------------
 
 void ControlNode::hubs(std::vector<std::uint32_t> ips) {
-    hubs_ = std::move(ips);
-    if (hubs_.size() > kMostHubs) hubs_.resize(kMostHubs);
+    control_nodes_ = std::move(ips);
+    if (control_nodes_.size() > kMaxControlNodes) control_nodes_.resize(kMaxControlNodes);
 }
 
 void ControlNode::stop(std::function<void()> done) {
@@ -269,9 +271,10 @@
     stopping_ = true;
     if (!replica_) return halt();
     event([this] {
-        if (replica_->hand_over(now())) log_line("SB016 hands over", "stopping: another is asked to lead");
+        if (replica_->hand_over(now()))
+            log_line("SB016 hands over", "stopping: transferring the leadership to another member");
     });
-    if (!replica_ || nothing_left()) return halt();
+    if (!replica_ || drained()) return halt();
     stop_timer_.expires_after(kStopWithin);
     stop_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (!ec && *alive) halt();
@@ -286,16 +289,16 @@
     replica_.reset();
     if (peers_) peers_->stop();
     store_.reset();
-    dismiss_all();
+    reject_all();
     if (stop_done_) asio::post(io_, std::exchange(stop_done_, nullptr));
 }
 
-bool ControlNode::nothing_left() const {
+bool ControlNode::drained() const {
     return config_.open() == 0 && current_questions_.empty() &&
            !(replica_ && replica_->raft().transferring_leadership());
 }
 
-// ---- Which edition is current -----------------------------------------------------------------------------
+// ---- Current edition --------------------------------------------------------------------------------------
 
 void ControlNode::ask_current(std::function<void(config::CurrentAnswer)> done) {
     if (!replica_ || stopping_) return done({});
@@ -312,45 +315,45 @@
     done(current_answer(reply));
 }
 
-void ControlNode::dismiss_all() {
-    config_.dismiss_all();
+void ControlNode::reject_all() {
+    config_.reject_all();
     for (const auto& [client, done] : std::exchange(current_questions_, {})) done({});
 }
 
 std::string ControlNode::status() const {
-    Json::Value said;
-    said["ip"] = boot_.ip;
-    said["disk"] = disk_;
-    said["longest_sync_ms"] = longest_sync_;
-    said["edition"] = config::to_text(edition());
+    Json::Value json;
+    json["ip"] = boot_.ip;
+    json["disk"] = disk_;
+    json["longest_sync_ms"] = longest_sync_;
+    json["edition"] = config::to_text(edition());
     if (replica_) {
         const raft::RaftNode& raft = replica_->raft();
-        said["role"] = name_of(raft.role());
-        said["founder"] = raft.id() < raft::kFirstDrawn;
-        said["leads"] = raft.leads();
-        said["leader"] = raft.leader_number() ? text_of(*raft.leader_number()) : "";
-        said["term"] = Json::UInt64(raft.term());
-        said["commit"] = Json::UInt64(raft.commit());
-        said["last"] = Json::UInt64(raft.last());
-        said["voter"] = false;
-        said["members"] = Json::arrayValue;
+        json["role"] = name_of(raft.role());
+        json["founder"] = raft.id() < raft::kFirstDrawn;
+        json["leads"] = raft.leads();
+        json["leader"] = raft.leader_number() ? text_of(*raft.leader_number()) : "";
+        json["term"] = Json::UInt64(raft.term());
+        json["commit"] = Json::UInt64(raft.commit());
+        json["last"] = Json::UInt64(raft.last());
+        json["voter"] = false;
+        json["members"] = Json::arrayValue;
         for (const raft::Member& member : raft.members()) {
             Json::Value one;
             one["ip"] = text_of(member.number);
             one["voter"] = member.voter;
             const auto peer = raft.peers().find(member.id);
             if (raft.leads() && peer != raft.peers().end()) one["silent_ms"] = now() - peer->second.heard;
-            if (member.id == raft.id()) said["voter"] = member.voter;
-            said["members"].append(one);
+            if (member.id == raft.id()) json["voter"] = member.voter;
+            json["members"].append(one);
         }
-        said["elections"] = Json::UInt64(raft.counts().elections);
-        said["taken"] = Json::UInt64(replica_->counts().taken);
-        said["waiting"] = Json::UInt64(replica_->waiting());
+        json["elections"] = Json::UInt64(raft.counts().elections);
+        json["taken"] = Json::UInt64(replica_->counts().taken);
+        json["waiting"] = Json::UInt64(replica_->waiting());
     }
-    if (store_) said["syncs"] = Json::UInt64(store_->syncs());
+    if (store_) json["syncs"] = Json::UInt64(store_->syncs());
     Json::StreamWriterBuilder writer;
     writer["indentation"] = "";
-    return Json::writeString(writer, said);
+    return Json::writeString(writer, json);
 }
 
 }  // namespace cobaltshift::control
--- a/src/control_io/control_node.hpp
+++ b/src/control_io/control_node.hpp
@@ -1,9 +1,10 @@
-// A control node: one replica of the configuration, with its folder and its peers, on one event loop. Entry
-// type: ControlNode. Called by the program of that name, and by tests. See control/replica.hpp for what it
-// promises and docs/operate/events-control.md for what it logs.
+// A control node: one replica of the configuration with its store on disk and its connections to the other
+// control nodes, on one event loop. Main type: ControlNode, used by the control program and by tests. Not
+// thread-safe. See control/replica.hpp for its guarantees and docs/operate/events-control.md for its log
+// events.
 //
-// Internal ports: boot.first_port + 2 for peers; the distributor has its own. Where the folder refuses, the
-// replica ends and the folder is tried again every kStoreAgain; meanwhile calls get 503.
+// Internal ports: boot.first_port + 2 for peers; the distributor has its own. If the store fails, the replica
+// is stopped and the store is opened again every kStoreRetryDelay; meanwhile requests get 503.
 #pragma once
 
 #include <memory>
@@ -18,35 +19,36 @@
 
 namespace cobaltshift::control {
 
-constexpr std::chrono::milliseconds kStoreAgain{300}, kStopWithin{600};
-// Clients of the replica with this bit are questions which edition is current; the others are operators'
-// calls.
+constexpr std::chrono::milliseconds kStoreRetryDelay{300}, kStopWithin{600};
+// Client ids with this bit set belong to nodes that ask for the current edition; the others belong to
+// operator requests.
 constexpr std::uint64_t kCurrentQuestionBit = 1ULL << 63;
 
 class ControlNode {
 public:
-    // `distributor` and `boot` outlive it. Throws StoreForeign if the folder is another's,
-    // boost::system::system_error if a port is taken.
+    // `distributor` and `boot` must outlive the node. Throws boost::system::system_error if a port is in use
+    // and StoreMismatch if the store belongs to another cluster or has another format.
     ControlNode(asio::io_context& io, const boot::Boot& boot, config::ConfigDistributor& distributor);
     ~ControlNode();
     ControlNode(const ControlNode&) = delete;
     ControlNode& operator=(const ControlNode&) = delete;
 
     Resource& config() { return config_; }
-    // Hubs that there are, as gossip tells (IPv4 in host order); the seeds are known anyway.
+    // The control nodes known from gossip, as IPv4 addresses in host byte order. Seeds need not be included.
     void hubs(std::vector<std::uint32_t> ips);
     bool leads() const { return replica_ && replica_->raft().leads(); }
     config::Edition edition() const { return replica_ ? replica_->state_machine().edition() : 0; }
     std::string status() const;  // JSON
-    // Committed and held by the distributor from now on: to be told of at once. May be called from within the
-    // constructor's first turn of the loop, not from the constructor.
+    // Called for each new edition, once it is committed and held by the distributor. Never called from within
+    // the constructor.
     std::function<void(config::Edition)> on_edition;
 
-    // A planned end: the lead goes to another member, what is on its way is answered, then it falls silent;
-    // `done` within kStopWithin. It stays a member: its disk comes back, or a successor is taken in first and
-    // then it is dropped (Replica).
+    // Planned stop: transfers the leadership, answers open requests, then closes all sockets and calls
+    // `done`, within kStopWithin. The node stays a member: it may restart with the same disk, or Replica
+    // removes it after a successor has joined.
     void stop(std::function<void()> done = {});
-    // This hub can't go on (a protocol broken, a foreign folder): the program should end. Called once.
+    // Called once if this node can't continue (protocol violation, store of another cluster): the program
+    // should exit.
     std::function<void(const std::string& why)> on_over;
 
 private:
@@ -56,24 +58,24 @@
     void guarded(const std::function<void()>& what);
     void pump();
     void schedule();
-    void refuses(const std::string& why);
-    void over(const std::string& why);
-    void tell();
+    void on_store_failure(const std::string& why);
+    void fail(const std::string& why);
+    void log_changes();
     void send(const raft::Message& message);
     void halt();
-    // Nobody waits for this node any more: it may fall silent.
-    bool nothing_left() const;
+    // True if no request is open and no leadership transfer is running, so that the node may stop.
+    bool drained() const;
     void ask_current(std::function<void(config::CurrentAnswer)> done);
     void answer_current(const Reply& reply);
-    // The replica is gone: whoever waits is told so.
-    void dismiss_all();
+    // Answers everything that waits for the replica, because it has stopped.
+    void reject_all();
 
     asio::io_context& io_;
     const boot::Boot& boot_;
     config::ConfigDistributor& distributor_;
     const std::uint32_t ip_;
     ReplicaSettings settings_;
-    std::vector<std::uint32_t> seeds_, hubs_;
+    std::vector<std::uint32_t> seeds_, control_nodes_;
     std::unique_ptr<Store> store_;
     std::unique_ptr<Replica> replica_;
     std::unique_ptr<Peers> peers_;
@@ -81,10 +83,10 @@
     std::map<std::uint64_t, std::function<void(config::CurrentAnswer)>> current_questions_;
     std::uint64_t next_current_question_ = kCurrentQuestionBit;
     asio::steady_timer timer_, store_timer_, stop_timer_;
-    bool stopping_ = false, stopped_ = false, pump_posted_ = false, told_over_ = false;
+    bool stopping_ = false, stopped_ = false, pump_posted_ = false, fatal_reported_ = false;
     bool led_ = false;
-    std::uint32_t told_leader_ = 0;
-    std::string disk_ = "new", told_members_;
+    std::uint32_t logged_leader_ = 0;
+    std::string disk_ = "new", logged_members_;
     raft::Millis longest_sync_ = 0;
     std::function<void()> stop_done_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/control_io/disk.cpp
+++ b/src/control_io/disk.cpp
@@ -13,10 +13,10 @@
     leveldb::Env& files() override { return *leveldb::Env::Default(); }
     void sync_folder(const std::filesystem::path& folder) override {
         const int descriptor = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        if (descriptor < 0) throw FolderNotSynced(folder.string() + ": can't be opened to be synced");
+        if (descriptor < 0) throw FolderSyncError(folder.string() + ": can't open the folder for fsync");
         const bool synced = ::fsync(descriptor) == 0;
         ::close(descriptor);
-        if (!synced) throw FolderNotSynced(folder.string() + ": can't be synced");
+        if (!synced) throw FolderSyncError(folder.string() + ": fsync failed");
     }
 };
 
--- a/src/control_io/disk.hpp
+++ b/src/control_io/disk.hpp
@@ -1,5 +1,5 @@
-// What a Store needs of a disk: files, by LevelDB's Env, and folders whose names last once they are synced.
-// Entry type: Disk; Disk::system() is the real one. Tests put in one that loses its power.
+// File system interface of a Store: files through LevelDB's Env, and the sync of folders. Disk::system() is
+// the real file system; tests use one that simulates a loss of power.
 #pragma once
 
 #include <filesystem>
@@ -11,7 +11,7 @@
 
 namespace cobaltshift::control {
 
-struct FolderNotSynced : std::runtime_error {
+struct FolderSyncError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -19,7 +19,8 @@
 public:
     virtual ~Disk() = default;
     virtual leveldb::Env& files() = 0;
-    // Names that were made, renamed or removed in it last from then on. Throws FolderNotSynced.
+    // fsync of a folder: makes files that were created, renamed or removed in it durable. Throws
+    // FolderSyncError.
     virtual void sync_folder(const std::filesystem::path& folder) = 0;
 
     static Disk& system();
--- a/src/control_io/durable_env.cpp
+++ b/src/control_io/durable_env.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Bytes that were read before.
+// A sequential file whose contents are in memory.
 class BytesFile : public leveldb::SequentialFile {
 public:
     explicit BytesFile(std::string bytes) : bytes_(std::move(bytes)) {}
@@ -49,7 +49,7 @@
     try {
         disk_.sync_folder(std::filesystem::path(file).parent_path());
         return leveldb::Status::OK();
-    } catch (const FolderNotSynced& fault) {
+    } catch (const FolderSyncError& fault) {
         return leveldb::Status::IOError(fault.what());
     }
 }
--- a/src/control_io/durable_env.hpp
+++ b/src/control_io/durable_env.hpp
@@ -1,5 +1,5 @@
-// LevelDB's Env over a Disk, so that what LevelDB relies upon after a loss of power is on the disk by then.
-// Entry type: DurableEnv. Called by LevelDB for a Store.
+// A LevelDB Env on top of a Disk that adds the folder syncs LevelDB leaves out, so that a database survives a
+// loss of power. Main type: DurableEnv, created by Store and called by LevelDB on its threads.
 #pragma once
 
 #include <leveldb/env.h>
@@ -14,13 +14,14 @@
 public:
     explicit DurableEnv(Disk& disk) : leveldb::EnvWrapper(&disk.files()), disk_(disk) {}
 
-    // LevelDB syncs what it writes to a new log file, not the file's name: what is acknowledged stands only
-    // there.
+    // LevelDB syncs the contents of a new log file, but not the folder entry. Acknowledged writes exist only
+    // in that file, so the folder is synced as soon as the file is created.
     leveldb::Status NewWritableFile(const std::string& file, leveldb::WritableFile** result) override;
-    // LevelDB renames CURRENT and then removes what it pointed to before: the name must last first.
+    // LevelDB renames CURRENT and then removes the manifest it pointed to before; the rename must be durable
+    // by then.
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 
-    // A manifest is read without a torn record at its end (manifest_tail.hpp).
+    // Reads a manifest without a torn record at its end (manifest_tail.hpp).
     leveldb::Status NewSequentialFile(const std::string& file, leveldb::SequentialFile** result) override;
 
 private:
--- a/src/control_io/manifest_tail.cpp
+++ b/src/control_io/manifest_tail.cpp
@@ -12,7 +12,7 @@
 enum RecordType : unsigned char { kZero = 0, kFull = 1, kFirst = 2, kMiddle = 3, kLast = 4 };
 
 constexpr std::array<std::uint32_t, 256> crc32c_table() {
-    constexpr std::uint32_t kPolynomial = 0x82f63b78;  // of Castagnoli, reflected
+    constexpr std::uint32_t kPolynomial = 0x82f63b78;  // CRC-32C (Castagnoli), reflected
     std::array<std::uint32_t, 256> table{};
     for (std::uint32_t i = 0; i < table.size(); ++i) {
         std::uint32_t value = i;
@@ -43,7 +43,7 @@
     return byte_at(bytes, at + 4) | byte_at(bytes, at + 5) << 8;
 }
 
-// The part of a record that begins at `at`; none: there is no whole and sound one.
+// The record fragment that begins at `at`. None if it is incomplete or its checksum does not match.
 std::optional<Fragment> fragment_at(std::string_view bytes, std::size_t at) {
     if (at + kHeader > bytes.size()) return {};
     const std::size_t end = at + kHeader + declared_length(bytes, at);
--- a/src/control_io/manifest_tail.hpp
+++ b/src/control_io/manifest_tail.hpp
@@ -1,9 +1,9 @@
-// How much of a LevelDB manifest is whole records. Entry: whole_manifest_bytes(). Called by DurableEnv.
+// Finds the end of the complete records in a LevelDB manifest. Used by DurableEnv.
 //
-// A manifest's newest record is synced after it is written: a loss of power between the two may leave it
-// torn, and LevelDB then takes the whole folder for corrupt. What the record would have replaced is still
-// there, as LevelDB removes it only after the sync; without the torn record the folder is as it was before.
-// Format: doc/log_format.md of LevelDB.
+// A loss of power between the write and the sync of the newest manifest record may leave that record torn,
+// and LevelDB then reports the whole database as corrupt. The files that the record would have made obsolete
+// still exist, because LevelDB removes them only after the sync. Without the torn record the database is
+// therefore in its previous state. The format is described in LevelDB's doc/log_format.md.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,9 @@
 
 namespace cobaltshift::control {
 
-// The bytes up to the end of the last whole record, where nothing but a torn one follows; all of them where
-// another whole record stands behind the torn one, as then it is not the end that is broken.
+// Size in bytes up to the end of the last complete record, if nothing but a torn record follows. The full
+// size if a complete record follows the damaged one: then the manifest is corrupt rather than torn at its
+// end, and LevelDB must report that.
 std::size_t whole_manifest_bytes(std::string_view manifest);
 
 }  // namespace cobaltshift::control
--- a/src/control_io/peers.hpp
+++ b/src/control_io/peers.hpp
@@ -1,10 +1,12 @@
-// What hubs say to one another: datagrams for what is short, a TCP connection kept to each for what is
-// longer, both at one internal port. Entry type: Peers. Called by ControlNode alone. As lossy as a network:
-// whatever can't be delivered soon is dropped, and the agreement says it again.
+// Transport for Raft messages between control nodes: UDP datagrams for short messages and one TCP connection
+// to each peer for longer ones, both at the same internal port. Main type: Peers, used by ControlNode. Runs
+// on one event loop; not thread-safe. Delivery is unreliable: messages that can't be delivered soon are
+// dropped, and Raft sends them again.
 //
-// Wire: a datagram, or a frame with its length (u32, little-endian) before it, is kOwn or kPassedOn (by a hub
-// that is not its author; goes no further), then an raft::Message. A connection on which nothing moves for
-// kStuck is dropped, and dialled anew with the next long message; bad bytes end a connection.
+// Wire format: a datagram, or a TCP frame preceded by its length (u32, little-endian), holds one byte, kOwn
+// or kPassedOn (forwarded by another node; must not be forwarded again), and an encoded raft::Message. A
+// connection without progress for kStallTimeout is closed and opened again for the next long message. Invalid
+// data closes the connection.
 #pragma once
 
 #include <array>
@@ -17,47 +19,50 @@
 
 namespace cobaltshift::control {
 
-constexpr std::size_t kLongestDatagram = 1200, kMostConnections = 32;
-constexpr std::size_t kMostQueued = 5 * 1024 * 1024;  // bytes to one hub
-constexpr std::chrono::milliseconds kStuck{700}, kIdle{30000};
+constexpr std::size_t kMaxDatagramBytes = 1200, kMaxInboundConnections = 32;
+constexpr std::size_t kMaxQueuedBytes = 5 * 1024 * 1024;  // for one peer; further messages are dropped
+constexpr std::chrono::milliseconds kStallTimeout{700}, kIdleTimeout{30000};
 
 class Peers {
 public:
-    using Heard = std::function<void(const raft::Message&, bool passed_on)>;
+    using MessageHandler = std::function<void(const raft::Message&, bool forwarded)>;
 
-    // Listens at `ip`:`port`, UDP and TCP; throws boost::system::system_error if it can't.
-    Peers(asio::io_context& io, const std::string& ip, std::uint16_t port, Heard heard);
+    // Listens at `ip`:`port`, UDP and TCP. Throws boost::system::system_error if that fails. `heard` is
+    // called for each message received.
+    Peers(asio::io_context& io, const std::string& ip, std::uint16_t port, MessageHandler on_message);
     ~Peers();
     Peers(const Peers&) = delete;
     Peers& operator=(const Peers&) = delete;
 
-    void send(std::uint32_t ip, const raft::Message& message, bool passed_on);
+    // Sends to `ip` (IPv4 in host byte order), or drops the message. `forwarded`: it is forwarded for another
+    // node. Messages to address 0 or to the own address are ignored.
+    void send(std::uint32_t ip, const raft::Message& message, bool forwarded);
     void stop();
 
     struct Counts {
-        std::uint64_t datagrams = 0, frames = 0, dropped = 0, refused = 0, dialled = 0, broken = 0;
+        std::uint64_t datagrams = 0, frames = 0, dropped = 0, refused = 0, connect_attempts = 0, broken = 0;
     };
     const Counts& counts() const { return counts_; }
 
 private:
-    struct Line;
-    struct Session;
+    struct OutboundConnection;
+    struct InboundConnection;
     void receive();
     void accept();
-    bool take(std::string_view bytes);
+    bool deliver(std::string_view bytes);
 
     asio::io_context& io_;
     const asio::ip::address_v4 ip_;
     const std::uint16_t port_;
-    const Heard heard_;
+    const MessageHandler on_message_;
     asio::ip::udp::socket socket_;
     tcp::acceptor acceptor_;
     asio::steady_timer receive_timer_, accept_timer_;
     std::array<char, 2048> in_;
     asio::ip::udp::endpoint from_;
-    std::map<std::uint32_t, std::shared_ptr<Line>> lines_;
-    std::map<std::uint64_t, std::weak_ptr<Session>> sessions_;
-    std::uint64_t next_session_ = 1;
+    std::map<std::uint32_t, std::shared_ptr<OutboundConnection>> outbound_;
+    std::map<std::uint64_t, std::weak_ptr<InboundConnection>> inbound_;
+    std::uint64_t next_inbound_ = 1;
     bool stopped_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     Counts counts_;
--- a/src/control_io/store.cpp
+++ b/src/control_io/store.cpp
@@ -21,74 +21,75 @@
 constexpr std::size_t kWriteBuffer = 256 * 1024, kCacheBytes = 32 * 1024;
 const std::string kHeader = "h", kVote = "v", kSnapshot = "s", kEntries = "e";
 
-struct Silent : leveldb::Logger {
+struct NullLogger : leveldb::Logger {
     void Logv(const char*, std::va_list) override {}
 };
 
-std::string number(std::uint64_t value) {
+std::string encode_number(std::uint64_t value) {
     std::string bytes;
     for (int shift = 56; shift >= 0; shift -= 8) bytes += static_cast<char>(value >> shift);
     return bytes;
 }
-std::uint64_t number_at(std::string_view bytes, std::size_t at) {
+std::uint64_t decode_number(std::string_view bytes, std::size_t at) {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < 8; ++i) value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
     return value;
 }
-std::string entry_key(raft::Index index) { return kEntries + number(index); }
+std::string entry_key(raft::Index index) { return kEntries + encode_number(index); }
 
-// The format's number, then what is kept, then the sum of key and all that.
-std::string record(std::string_view key, std::string_view what) {
+// Format version, contents, and the checksum of the key and both.
+std::string record(std::string_view key, std::string_view contents) {
     std::string bytes(1, kFormat);
-    bytes += what;
-    return bytes + store::seal_of(std::string(key) + bytes);
+    bytes += contents;
+    return bytes + store::checksum_of(std::string(key) + bytes);
 }
 
-enum class Opened { good, rotten, foreign };
-Opened open_record(std::string_view key, std::string_view bytes, std::string& what) {
-    if (bytes.size() < 1 + store::kSealBytes) return Opened::rotten;
-    const std::string_view body = bytes.substr(0, bytes.size() - store::kSealBytes);
-    if (store::seal_of(std::string(key) + std::string(body)) != bytes.substr(body.size()))
-        return Opened::rotten;
-    if (body.front() != kFormat) return Opened::foreign;
-    what = body.substr(1);
-    return Opened::good;
+enum class RecordState { valid, corrupt, unknown_format };
+RecordState open_record(std::string_view key, std::string_view bytes, std::string& contents) {
+    if (bytes.size() < 1 + store::kChecksumBytes) return RecordState::corrupt;
+    const std::string_view body = bytes.substr(0, bytes.size() - store::kChecksumBytes);
+    if (store::checksum_of(std::string(key) + std::string(body)) != bytes.substr(body.size()))
+        return RecordState::corrupt;
+    if (body.front() != kFormat) return RecordState::unknown_format;
+    contents = body.substr(1);
+    return RecordState::valid;
 }
 
-void put(leveldb::WriteBatch& batch, const std::string& key, std::string_view what) {
-    batch.Put(key, record(key, what));
+void put(leveldb::WriteBatch& batch, const std::string& key, std::string_view contents) {
+    batch.Put(key, record(key, contents));
 }
 
 }  // namespace
 
-Store::Store(std::string folder, std::uint64_t fleet, Disk& disk)
+Store::Store(std::string folder, std::uint64_t cluster_id, Disk& disk)
     : folder_(std::move(folder)),
-      fleet_(fleet),
+      cluster_id_(cluster_id),
       disk_(disk),
       env_(std::make_unique<DurableEnv>(disk)),
-      logger_(std::make_unique<Silent>()),
+      logger_(std::make_unique<NullLogger>()),
       cache_(leveldb::NewLRUCache(kCacheBytes)) {
     std::error_code ec;
     fs::create_directories(folder_, ec);
-    if (ec) throw StoreRefuses(folder_ + ": can't be made: " + ec.message());
+    if (ec) throw StoreFailure(folder_ + ": can't create the folder: " + ec.message());
     open();
-    Read found = db_ ? read() : Read::rotten;
-    if (found == Read::rotten) {
+    Read found = db_ ? read() : Read::corrupt;
+    if (found == Read::corrupt) {
         set_aside();
         open();
-        if (!db_) throw StoreRefuses(folder_ + ": can't be opened though it is new: " + why_);
+        if (!db_) throw StoreFailure(folder_ + ": can't open a newly created database: " + why_);
     }
     try {
         disk_.sync_folder(folder_);
         disk_.sync_folder(fs::path(folder_).parent_path());
-    } catch (const FolderNotSynced& fault) {
-        throw StoreRefuses(fault.what());
+    } catch (const FolderSyncError& fault) {
+        throw StoreFailure(fault.what());
     }
 }
 
 Store::~Store() = default;
 
-// db_ stays empty where what is there makes no sense.
+// Leaves db_ empty if the database is corrupt, with the reason in why_. Throws StoreFailure on I/O errors.
+// LevelDB reports missing files as I/O errors too; these count as corruption.
 void Store::open() {
     leveldb::Options options;
     options.env = env_.get();
@@ -106,7 +107,7 @@
     why_ = status.ToString();
     if (status.IsIOError() && why_.find("missing files") == std::string::npos &&
         why_.find("No such file") == std::string::npos)
-        throw StoreRefuses(folder_ + ": " + why_);
+        throw StoreFailure(folder_ + ": " + why_);
     db_.reset();
 }
 
@@ -115,56 +116,56 @@
     bool header = false, vote = false, snapshot = false;
     std::map<raft::Index, raft::Entry> entries;
     const std::unique_ptr<leveldb::Iterator> at(db_->NewIterator({}));
-    const auto rotten = [&](const std::string& key, const std::string& what) {
+    const auto corrupt = [&](const std::string& key, const std::string& problem) {
         why_ = "record '";
-        why_ += key.size() == 1 ? key : std::to_string(number_at(key, 1));
-        why_ += "' " + what;
-        return Read::rotten;
+        why_ += key.size() == 1 ? key : std::to_string(decode_number(key, 1));
+        why_ += "' " + problem;
+        return Read::corrupt;
     };
     for (at->SeekToFirst(); at->Valid(); at->Next()) {
         const std::string key = at->key().ToString();
         if (key.empty() || (key.size() != 1 && key.size() != 9))
-            return why_ = "an unknown record", Read::rotten;
-        std::string what;
-        switch (open_record(key, {at->value().data(), at->value().size()}, what)) {
-            case Opened::rotten:
-                return rotten(key, "is torn or rotten");
-            case Opened::foreign:
-                throw StoreForeign(folder_ + ": is of another format than " + std::to_string(kFormat));
-            case Opened::good:
+            return why_ = "record with an unknown key", Read::corrupt;
+        std::string contents;
+        switch (open_record(key, {at->value().data(), at->value().size()}, contents)) {
+            case RecordState::corrupt:
+                return corrupt(key, "has a wrong checksum");
+            case RecordState::unknown_format:
+                throw StoreMismatch(folder_ + ": format is not " + std::to_string(kFormat));
+            case RecordState::valid:
                 break;
         }
         if (key == kHeader) {
-            if (what.size() != 24) return rotten(key, "is no header");
-            s.fleet = number_at(what, 0);
-            s.id = number_at(what, 8);
-            s.starts = number_at(what, 16);
+            if (contents.size() != 24) return corrupt(key, "has a wrong size");
+            s.fleet = decode_number(contents, 0);
+            s.id = decode_number(contents, 8);
+            s.starts = decode_number(contents, 16);
             header = true;
         } else if (key == kVote) {
-            if (what.size() != 16) return rotten(key, "is no vote");
-            s.term = number_at(what, 0);
-            s.voted = number_at(what, 8);
+            if (contents.size() != 16) return corrupt(key, "has a wrong size");
+            s.term = decode_number(contents, 0);
+            s.voted = decode_number(contents, 8);
             vote = true;
         } else if (key == kSnapshot) {
-            auto decoded = raft::decode_snapshot(what);
-            if (!decoded) return rotten(key, "is no snapshot");
+            auto decoded = raft::decode_snapshot(contents);
+            if (!decoded) return corrupt(key, "can't be decoded as a snapshot");
             s.snapshot = std::move(*decoded);
             snapshot = true;
         } else if (key.size() == 9 && key.starts_with(kEntries)) {
-            auto entry = raft::decode_entry(what);
-            if (!entry) return rotten(key, "is no entry");
-            entries[number_at(key, 1)] = std::move(*entry);
+            auto entry = raft::decode_entry(contents);
+            if (!entry) return corrupt(key, "can't be decoded as an entry");
+            entries[decode_number(key, 1)] = std::move(*entry);
         }
     }
-    if (!at->status().ok()) return why_ = at->status().ToString(), Read::rotten;
+    if (!at->status().ok()) return why_ = at->status().ToString(), Read::corrupt;
     if (!header && !vote && !snapshot && entries.empty()) return Read::empty;
-    if (!header || !vote || !snapshot) return why_ = "a record is missing", Read::rotten;
-    if (s.fleet != fleet_) throw StoreForeign(folder_ + ": is of another fleet");
+    if (!header || !vote || !snapshot) return why_ = "a record is missing", Read::corrupt;
+    if (s.fleet != cluster_id_) throw StoreMismatch(folder_ + ": belongs to another cluster");
     first_ = s.snapshot.index + 1;
     last_ = s.snapshot.index;
     for (auto& [index, entry] : entries) {
         if (index != last_ + 1 || entry.term > s.term)
-            return rotten(entry_key(index), "doesn't follow the one before");
+            return corrupt(entry_key(index), "does not continue the log");
         last_ = index;
         s.entries.push_back(std::move(entry));
     }
@@ -174,34 +175,35 @@
     return Read::whole;
 }
 
-// One is kept to be looked at; room is dear.
+// Renames the damaged folder to FOLDER.aside for inspection. Only the latest one is retained, to save space.
 void Store::set_aside() {
     db_.reset();
     stored_.reset();
     first_ = 1, last_ = 0;
-    if (why_.empty()) why_ = "it makes no sense";
+    if (why_.empty()) why_ = "unknown damage";
     std::error_code ec;
     const fs::path aside = folder_ + ".aside";
     fs::remove_all(aside, ec);
     fs::rename(folder_, aside, ec);
-    if (ec) throw StoreRefuses(folder_ + ": " + why_ + "; can't be set aside: " + ec.message());
+    if (ec) throw StoreFailure(folder_ + ": " + why_ + "; can't set the folder aside: " + ec.message());
     fs::create_directories(folder_, ec);
-    if (ec) throw StoreRefuses(folder_ + ": can't be made: " + ec.message());
+    if (ec) throw StoreFailure(folder_ + ": can't create the folder: " + ec.message());
 }
 
 void Store::write(leveldb::WriteBatch& batch) {
     leveldb::WriteOptions options;
     options.sync = true;
     ++syncs_;
-    // What LevelDB would append behind half a record it would not find again.
-    if (refused_) throw StoreRefuses(folder_ + ": has refused a write before");
+    // A failed write may leave a partial record in LevelDB's log, and records appended after it would be lost
+    // on recovery.
+    if (write_failed_) throw StoreFailure(folder_ + ": an earlier write has failed");
     const leveldb::Status status = db_->Write(options, &batch);
-    refused_ = !status.ok();
-    if (refused_) throw StoreRefuses(folder_ + ": " + status.ToString());
+    write_failed_ = !status.ok();
+    if (write_failed_) throw StoreFailure(folder_ + ": " + status.ToString());
 }
 
 void Store::put_header(leveldb::WriteBatch& batch) const {
-    put(batch, kHeader, number(fleet_) + number(id_) + number(starts_));
+    put(batch, kHeader, encode_number(cluster_id_) + encode_number(id_) + encode_number(starts_));
 }
 
 void Store::clear(leveldb::WriteBatch& batch) const {
@@ -214,7 +216,7 @@
     id_ = stored.id;
     starts_ = stored.starts;
     put_header(batch);
-    put(batch, kVote, number(stored.term) + number(stored.voted));
+    put(batch, kVote, encode_number(stored.term) + encode_number(stored.voted));
     put(batch, kSnapshot, raft::encode(stored.snapshot));
     first_ = stored.snapshot.index + 1;
     last_ = stored.snapshot.index;
@@ -222,16 +224,16 @@
     write(batch);
 }
 
-void Store::starts(std::uint64_t count) {
+void Store::record_start(std::uint64_t count) {
     leveldb::WriteBatch batch;
     starts_ = count;
     put_header(batch);
     write(batch);
 }
 
-void Store::keep(const raft::Ready& ready) {
+void Store::persist(const raft::Ready& ready) {
     leveldb::WriteBatch batch;
-    if (ready.vote) put(batch, kVote, number(ready.vote->term) + number(ready.vote->voted));
+    if (ready.vote) put(batch, kVote, encode_number(ready.vote->term) + encode_number(ready.vote->voted));
     if (ready.snapshot) {
         clear(batch);
         put(batch, kSnapshot, raft::encode(*ready.snapshot));
--- a/src/control_io/store.hpp
+++ b/src/control_io/store.hpp
@@ -1,10 +1,11 @@
-// A hub's folder on disk: what its replica must not forget (raft::Stored), in LevelDB. Entry type: Store.
-// Called by ControlNode alone. A batch for each Ready, synced before it returns; each record carries its
-// format's number and the XXH3 of its key and itself.
+// Persistent storage of a control node's Raft state (raft::Stored) in LevelDB. Main type: Store, used by
+// ControlNode. Not thread-safe. Each Ready is written as one batch, which is synced before the call returns.
+// Each record holds a format version and the XXH3 of its key and contents.
 //
-// Errors: StoreRefuses (the disk refuses: nothing of the batch may be relied upon; open it anew later) and
-// StoreForeign (of another format or fleet: nobody's to touch). What is torn or rotten is set aside under
-// another name, said in why(), and an empty folder takes its place.
+// Errors: StoreFailure if the disk fails: none of the batch may be relied upon, and the store must be opened
+// again later. StoreMismatch if the folder has another format or belongs to another cluster: it is left
+// untouched. A damaged folder is renamed to FOLDER.aside, why() holds the reason, and an empty one takes its
+// place.
 #pragma once
 
 #include <memory>
@@ -26,33 +27,34 @@
 
 class DurableEnv;
 
-struct StoreRefuses : std::runtime_error {
+struct StoreFailure : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
-struct StoreForeign : std::runtime_error {
+struct StoreMismatch : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class Store {
 public:
-    // Opens it, or makes it, with all folders above it that are missing.
-    Store(std::string folder, std::uint64_t fleet, Disk& disk = Disk::system());
+    // Opens the store, creating `folder` and missing parent folders. `cluster_id` identifies the cluster.
+    Store(std::string folder, std::uint64_t cluster_id, Disk& disk = Disk::system());
     ~Store();
 
-    // What it holds; none: it is empty, or was set aside.
-    std::optional<raft::Stored> take() { return std::move(stored_); }
-    const std::string& why() const { return why_; }  // not empty: a folder was set aside
+    // Moves out the state that was read on opening. None if the store is new or the former one was set aside.
+    std::optional<raft::Stored> take_stored() { return std::move(stored_); }
+    const std::string& why() const { return why_; }  // why a damaged folder was set aside; empty: none was
 
-    // From here on it holds this and nothing else.
+    // Replaces the entire contents by `stored`.
     void begin(const raft::Stored& stored);
-    // Of another run: counted, and kept. Called once, before anything is said.
-    void starts(std::uint64_t count);
-    void keep(const raft::Ready& ready);
+    // Persists the start counter of this run. Must be called once before any message is sent.
+    void record_start(std::uint64_t count);
+    // Persists what `ready` asks for, synced. Throws StoreFailure.
+    void persist(const raft::Ready& ready);
 
     std::uint64_t syncs() const { return syncs_; }
 
 private:
-    enum class Read { whole, empty, rotten };
+    enum class Read { whole, empty, corrupt };
     void open();
     Read read();
     void set_aside();
@@ -61,7 +63,7 @@
     void clear(leveldb::WriteBatch& batch) const;
 
     const std::string folder_;
-    const std::uint64_t fleet_;
+    const std::uint64_t cluster_id_;
     Disk& disk_;
     std::unique_ptr<DurableEnv> env_;
     std::unique_ptr<leveldb::Logger> logger_;
@@ -70,9 +72,9 @@
     std::optional<raft::Stored> stored_;
     raft::MemberId id_ = 0;
     std::uint64_t starts_ = 0;
-    raft::Index first_ = 1, last_ = 0;  // of the entries it holds
+    raft::Index first_ = 1, last_ = 0;  // first and last index of the stored entries
     std::string why_;
-    bool refused_ = false;  // a write: this one takes no more
+    bool write_failed_ = false;  // a write has failed: further writes are refused
     std::uint64_t syncs_ = 0;
 };
 
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kFormat = 1;
 constexpr std::uint64_t kLastKind = static_cast<std::uint64_t>(Message::Kind::timeout_now);
 
-Members members_of(std::string_view bytes) {
+Members parse_members(std::string_view bytes) {
     Members members;
     Fields all(bytes);
     while (all.next()) {
@@ -38,16 +38,17 @@
                 default:
                     fields.skip();
             }
-        if (one.id == kNobody) throw Unreadable("a member is nobody");
+        if (one.id == kNoMember) throw Unreadable("a member is nobody");
         for (const Member& other : members)
-            if (other.id == one.id || other.number == one.number) throw Unreadable("a member is there twice");
+            if (other.id == one.id || other.number == one.number)
+                throw Unreadable("a member id or number occurs twice");
         members.push_back(one);
-        if (members.size() > kMaxMembers) throw Unreadable("there are too many members");
+        if (members.size() > kMaxMembers) throw Unreadable("too many members");
     }
     return members;
 }
 
-Entry entry_of(std::string_view bytes) {
+Entry parse_entry(std::string_view bytes) {
     Entry entry;
     Fields fields(bytes);
     while (fields.next()) switch (fields.tag()) {
@@ -64,11 +65,11 @@
                 fields.skip();
         }
     if (entry.term == 0) throw Unreadable("an entry has no term");
-    if (entry.kind == Entry::Kind::members) members_of(entry.data);
+    if (entry.kind == Entry::Kind::members) parse_members(entry.data);
     return entry;
 }
 
-Snapshot snapshot_of(std::string_view bytes) {
+Snapshot parse_snapshot(std::string_view bytes) {
     Snapshot snapshot;
     Fields fields(bytes);
     while (fields.next()) switch (fields.tag()) {
@@ -79,7 +80,7 @@
                 snapshot.term = fields.number("snapshot term");
                 break;
             case 3:
-                snapshot.members = members_of(fields.bytes("snapshot members", 1024));
+                snapshot.members = parse_members(fields.bytes("snapshot members", 1024));
                 break;
             case 4:
                 snapshot.data = fields.text("snapshot data", kMaxSnapshotBytes);
@@ -90,7 +91,7 @@
     return snapshot;
 }
 
-SnapshotPiece piece_of(std::string_view bytes) {
+SnapshotPiece parse_piece(std::string_view bytes) {
     SnapshotPiece piece;
     Fields fields(bytes);
     while (fields.next()) switch (fields.tag()) {
@@ -101,7 +102,7 @@
                 piece.term = fields.number("piece term");
                 break;
             case 3:
-                piece.members = members_of(fields.bytes("piece members", 1024));
+                piece.members = parse_members(fields.bytes("piece members", 1024));
                 break;
             case 4:
                 piece.offset = fields.number("piece offset", kMaxSnapshotBytes);
@@ -124,7 +125,7 @@
 }
 
 template <class What, class Read>
-std::optional<What> guarded(Read read) {
+std::optional<What> none_if_unreadable(Read read) {
     try {
         return read();
     } catch (const Unreadable&) {
@@ -258,22 +259,21 @@
                     m.ok = f.flag("ok");
                     break;
                 case 16:
-                    if (m.entries.size() >= kMaxEntriesInMessage)
-                        throw Unreadable("there are too many entries");
-                    m.entries.push_back(entry_of(f.bytes("entry", kMaxEntryBytes + 64)));
+                    if (m.entries.size() >= kMaxEntriesInMessage) throw Unreadable("too many entries");
+                    m.entries.push_back(parse_entry(f.bytes("entry", kMaxEntryBytes + 64)));
                     break;
                 case 18:
                     m.offset = f.number("offset", kMaxSnapshotBytes);
                     break;
                 case 19:
                     m.piece = std::make_shared<const SnapshotPiece>(
-                        piece_of(f.bytes("piece", kSnapshotPieceBytes + 2048)));
+                        parse_piece(f.bytes("piece", kSnapshotPieceBytes + 2048)));
                     break;
                 default:
                     f.skip();
             }
         if (format != kFormat) throw Unreadable("its format is " + std::to_string(format));
-        if (m.from == kNobody) throw Unreadable("it is from nobody");
+        if (m.from == kNoMember) throw Unreadable("it is from nobody");
         if (m.kind == Message::Kind::snapshot) throw Unreadable("it is of a kind that is no longer spoken");
         if (m.kind == Message::Kind::snapshot_piece && !m.piece)
             throw Unreadable("the snapshot's piece is missing");
@@ -284,13 +284,13 @@
 }
 
 std::optional<Members> decode_members(std::string_view bytes) {
-    return guarded<Members>([&] { return members_of(bytes); });
+    return none_if_unreadable<Members>([&] { return parse_members(bytes); });
 }
 std::optional<Entry> decode_entry(std::string_view bytes) {
-    return guarded<Entry>([&] { return entry_of(bytes); });
+    return none_if_unreadable<Entry>([&] { return parse_entry(bytes); });
 }
 std::optional<Snapshot> decode_snapshot(std::string_view bytes) {
-    return guarded<Snapshot>([&] { return snapshot_of(bytes); });
+    return none_if_unreadable<Snapshot>([&] { return parse_snapshot(bytes); });
 }
 
 }  // namespace cobaltshift::raft
--- a/src/raft/codec.hpp
+++ b/src/raft/codec.hpp
@@ -1,6 +1,7 @@
-// Messages, entries and members as bytes: protozero (the protocol buffers' wire), with the XXH3 of all before
-// it at the end, so that what is cut off at a field's border or bent does not pass for whole. Decoding takes
-// nothing on trust: a field of another type, over its bound or out of its range makes no message.
+// Binary encoding of messages, entries, members and snapshots in the protocol buffers wire format. A message
+// ends with the XXH3 of all bytes before it, which detects corruption and truncation, also at a field
+// boundary. Decoding validates its input: a field of a wrong type, over its size limit or out of range is an
+// error.
 #pragma once
 
 #include <optional>
@@ -12,9 +13,10 @@
 namespace cobaltshift::raft {
 
 std::string encode(const Message& message);
-// None: not a message; `why` then says what is wrong.
+// None if the bytes are no valid message; `why` then holds the reason.
 std::optional<Message> decode_message(std::string_view bytes, std::string& why);
 
+// The decode functions return none if the bytes are invalid.
 std::string encode(const Members& members);
 std::optional<Members> decode_members(std::string_view bytes);
 std::string encode(const Entry& entry);
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -1,10 +1,10 @@
-// Elections: pre-vote, votes, check-quorum, and the hand-over of the lead.
+// RaftNode: elections with pre-vote, check-quorum, and leadership transfer.
 #include "raft/raft_node.hpp"
 
 namespace cobaltshift::raft {
 
 namespace {
-constexpr Millis kJoinEvery = 500;
+constexpr Millis kJoinIntervalMs = 500;
 }  // namespace
 
 Millis RaftNode::due() const {
@@ -20,32 +20,33 @@
     if (role_ == Role::leader) {
         if (now < heartbeat_due_) return;
         heartbeat_due_ = now + settings_.heartbeat;
-        // Check-quorum: who hears no majority leads nobody, and must not answer as if it did.
-        std::size_t hear = 1;
-        for (const auto& [id, peer] : peers_) hear += voter(id) && now < peer.heard + 2 * settings_.election;
-        if (hear < majority()) return follow(now, term_, kNobody);
-        if (transfer_to_ != kNobody && now >= transfer_until_) transfer_to_ = kNobody;
-        reconsider_members(now);
+        // Check-quorum: a leader that hears no majority steps down, so that it no longer answers as leader.
+        std::size_t reachable = 1;
+        for (const auto& [id, peer] : peers_)
+            reachable += voter(id) && now < peer.heard + 2 * settings_.election;
+        if (reachable < majority()) return become_follower(now, term_, kNoMember);
+        if (transfer_to_ != kNoMember && now >= transfer_until_) transfer_to_ = kNoMember;
+        advance_membership(now);
         commit_before_ = commit_;
         broadcast(now, true);
         return;
     }
     if (!member()) {
         if (now < join_due_) return;
-        join_due_ = now + kJoinEvery;
-        out_.push_back(message(Message::Kind::join, kNobody));
+        join_due_ = now + kJoinIntervalMs;
+        out_.push_back(message(Message::Kind::join, kNoMember));
         return;
     }
-    if (voter(id_) && now >= election_due_) stand(now, Stand::pre_vote);
+    if (voter(id_) && now >= election_due_) start_campaign(now, Campaign::pre_vote);
 }
 
-void RaftNode::stand(Millis now, Stand how) {
-    const bool for_real = how != Stand::pre_vote;
-    leader_ = kNobody;
+void RaftNode::start_campaign(Millis now, Campaign how) {
+    const bool is_election = how != Campaign::pre_vote;
+    leader_ = kNoMember;
     votes_.clear();
-    set_election(now);
-    role_ = for_real ? Role::candidate : Role::prevoting;
-    if (for_real) {
+    reset_election_timeout(now);
+    role_ = is_election ? Role::candidate : Role::prevoting;
+    if (is_election) {
         ++term_;
         ++counts_.elections;
         voted_ = id_;
@@ -54,11 +55,11 @@
     votes_[id_] = true;
     for (const Member& member : members_) {
         if (member.id == id_ || !member.voter) continue;
-        Message m = message(for_real ? Message::Kind::ask_vote : Message::Kind::ask_prevote, member.id);
-        m.term = for_real ? term_ : term_ + 1;
+        Message m = message(is_election ? Message::Kind::ask_vote : Message::Kind::ask_prevote, member.id);
+        m.term = is_election ? term_ : term_ + 1;
         m.index = last();
         m.log_term = term_at(last());
-        m.ok = how == Stand::by_leaders_wish;
+        m.ok = how == Campaign::leadership_transfer;
         out_.push_back(std::move(m));
     }
     count_votes(now);
@@ -69,18 +70,18 @@
     for (const auto& [id, ok] : votes_) count += ok && voter(id);
     if (count < majority()) return;
     if (role_ == Role::prevoting)
-        stand(now, Stand::election);
+        start_campaign(now, Campaign::election);
     else if (role_ == Role::candidate)
-        lead(now);
+        become_leader(now);
 }
 
-void RaftNode::follow(Millis now, Term term, MemberId leader) {
+void RaftNode::become_follower(Millis now, Term term, MemberId leader) {
     if (term > term_) {
         term_ = term;
-        voted_ = kNobody;
+        voted_ = kNoMember;
         vote_changed_ = true;
     }
-    if (role_ != Role::follower || leader != kNobody) set_election(now);
+    if (role_ != Role::follower || leader != kNoMember) reset_election_timeout(now);
     role_ = Role::follower;
     leader_ = leader;
     votes_.clear();
@@ -89,10 +90,10 @@
     questions_.clear();
     confirmed_.clear();
     round_wanted_ = false;
-    transfer_to_ = kNobody;
+    transfer_to_ = kNoMember;
 }
 
-void RaftNode::lead(Millis now) {
+void RaftNode::become_leader(Millis now) {
     role_ = Role::leader;
     leader_ = id_;
     ++counts_.led;
@@ -102,40 +103,41 @@
         if (member.id == id_) continue;
         Peer& peer = peers_[member.id];
         peer.next = last() + 1;
-        peer.heard = now;  // so long it has to speak up
+        peer.heard = now;  // starts the check-quorum period for this member
     }
     append({term_, Entry::Kind::nothing, {}});
     term_start_ = last();
-    commit_before_ = term_start_;  // nobody is taken in before the own entry is committed
+    commit_before_ = term_start_;  // a learner must hold this term's first entry to become a voter
     heartbeat_due_ = now + settings_.heartbeat;
     broadcast(now);
     maybe_commit();
 }
 
-// ---- Hand-over of the lead -------------------------------------------------------------------------------
+// ---- Leadership transfer ---------------------------------------------------------------------------------
 
 bool RaftNode::transfer_leadership(Millis now) {
     if (!leads() || retired_) return false;
-    MemberId best = kNobody;
+    MemberId best = kNoMember;
     Index most = 0;
     for (const auto& [id, peer] : peers_) {
-        const bool heard = peer.active && now <= peer.heard + settings_.election;
-        if (!voter(id) || !heard || peer.match < most) continue;
+        const bool recent = peer.active && now <= peer.heard + settings_.election;
+        if (!voter(id) || !recent || peer.match < most) continue;
         best = id;
         most = peer.match;
     }
-    if (best == kNobody) return false;
+    if (best == kNoMember) return false;
     transfer_to_ = best;
     transfer_until_ = now + settings_.election;
     transfer_asked_ = false;
-    ask_to_lead();
+    send_timeout_now();
     return true;
 }
 
-// Once the successor has the whole log: an election that it can't win would only delay the next leader.
-void RaftNode::ask_to_lead() {
+// Sends timeout_now once the target has the whole log: an election that it can't win would only delay the
+// next leader.
+void RaftNode::send_timeout_now() {
     const auto peer = peers_.find(transfer_to_);
-    if (transfer_to_ == kNobody || transfer_asked_ || peer == peers_.end() || peer->second.match < last())
+    if (transfer_to_ == kNoMember || transfer_asked_ || peer == peers_.end() || peer->second.match < last())
         return;
     transfer_asked_ = true;
     out_.push_back(message(Message::Kind::timeout_now, transfer_to_));
@@ -143,7 +145,7 @@
 
 void RaftNode::on_timeout_now(Millis now, const Message& m) {
     if (m.term != term_ || role_ != Role::follower || m.from != leader_ || !voter(id_)) return;
-    stand(now, Stand::by_leaders_wish);
+    start_campaign(now, Campaign::leadership_transfer);
 }
 
 }  // namespace cobaltshift::raft
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -1,4 +1,5 @@
-// Changes of membership, one at a time, and the refusal of members that have lost what they had stored.
+// RaftNode: membership changes, one at a time, and detection of members whose folder was rolled back to an
+// earlier state.
 #include <algorithm>
 
 #include "raft/codec.hpp"
@@ -7,18 +8,18 @@
 namespace cobaltshift::raft {
 
 namespace {
-constexpr Millis kJoinerLife = 3000;   // an asker unheard so long is forgotten
-constexpr std::size_t kSeenMost = 64;  // ids whose runs are remembered
+constexpr Millis kJoinRequestTtlMs = 3000;      // a join request is dropped if not repeated by then
+constexpr std::size_t kMaxTrackedMembers = 64;  // member ids whose newest run is remembered
 }  // namespace
 
-void RaftNode::read_members() {
+void RaftNode::reload_members() {
     members_at_ = snapshot_.index;
     members_ = snapshot_.members;
     for (Index index = last(); index > snapshot_.index; --index) {
         const Entry& entry = at(index);
         if (entry.kind != Entry::Kind::members) continue;
         const auto members = decode_members(entry.data);
-        if (!members) throw Broken("an entry of members can't be read");
+        if (!members) throw Broken("a membership entry in the log can't be decoded");
         members_at_ = index;
         members_ = *members;
         break;
@@ -28,18 +29,21 @@
         if (member.id != id_ && !peers_.count(member.id)) peers_[member.id].next = last() + 1;
     std::erase_if(peers_, [&](const auto& at) { return !find(at.first); });
 }
-bool RaftNode::rolled_back(const Message& m) {
+
+// True: the message must be dropped, because it is from an earlier run of its sender, or from a later run
+// with an older folder. In the second case the sender is told that it is no longer a member.
+bool RaftNode::is_stale_or_rolled_back(const Message& m) {
     if (m.kind == Message::Kind::gone) return false;
     const auto at = seen_.find(m.from);
     if (at == seen_.end()) {
-        if (seen_.size() >= kSeenMost) seen_.erase(seen_.begin());
+        if (seen_.size() >= kMaxTrackedMembers) seen_.erase(seen_.begin());
         seen_[m.from] = {
             m.run, m.kind == Message::Kind::ask_prevote || m.kind == Message::Kind::prevote ? 0 : m.term};
         return false;
     }
-    Seen& seen = at->second;
-    // A life never starts the same run twice, and its term never falls: a later run with less is an older
-    // folder.
+    KnownRun& seen = at->second;
+    // A member never uses a start counter twice and its term never decreases. The same counter with another
+    // random number, or a later run with a lower term, shows that the folder was rolled back.
     const bool older =
         m.run.starts == seen.run.starts ? m.run.draw != seen.run.draw
         : m.run.starts > seen.run.starts
@@ -53,7 +57,7 @@
         out_.push_back(std::move(gone));
         return true;
     }
-    if (m.run.starts < seen.run.starts) return true;  // late, from a run that is over
+    if (m.run.starts < seen.run.starts) return true;  // delayed message of an earlier run
     seen.run = m.run;
     if (m.kind != Message::Kind::ask_prevote && m.kind != Message::Kind::prevote)
         seen.term = std::max(seen.term, m.term);
@@ -67,31 +71,31 @@
     joiners_[m.number] = {m.from, now};
 }
 
-void RaftNode::change(Millis now, const Members& to) {
+void RaftNode::propose_members(Millis now, const Members& to) {
     append({term_, Entry::Kind::members, encode(to)});
     broadcast(now);
 }
 
-void RaftNode::reconsider_members(Millis now) {
+void RaftNode::advance_membership(Millis now) {
     if (!leads() || changing()) return;
     for (const Member& member : members_) {
         const auto peer = peers_.find(member.id);
         if (member.voter || peer == peers_.end() || !peer->second.active) continue;
-        // All that was committed a heartbeat ago: under steady changes nobody ever has what was committed
-        // just now.
+        // A learner becomes a voter once it has everything that was committed a heartbeat ago. Under a steady
+        // load no learner ever holds what was committed just now.
         if (peer->second.match < commit_before_ || now > peer->second.heard + settings_.election) continue;
         Members to = members_;
         for (Member& one : to)
             if (one.id == member.id) one.voter = true;
-        return change(now, to);
+        return propose_members(now, to);
     }
-    std::erase_if(joiners_, [&](const auto& at) { return now > at.second.heard + kJoinerLife; });
+    std::erase_if(joiners_, [&](const auto& at) { return now > at.second.heard + kJoinRequestTtlMs; });
     for (const auto& [number, joiner] : joiners_) {
         Members to = members_;
         const auto former =
             std::find_if(to.begin(), to.end(), [&, n = number](const Member& m) { return m.number == n; });
         if (former != to.end()) {
-            // One at a time: the life before it goes first, if nobody hears it any more.
+            // Single-server changes: the earlier incarnation is removed first, if it has been silent.
             const auto peer = peers_.find(former->id);
             if (former->id == id_ || peer == peers_.end() ||
                 now < peer->second.heard + 2 * settings_.election)
@@ -101,7 +105,7 @@
             if (to.size() >= kMaxMembers) continue;
             to.push_back({joiner.id, number, false});
         }
-        return change(now, to);
+        return propose_members(now, to);
     }
 }
 
@@ -111,7 +115,7 @@
     const auto at = std::find_if(to.begin(), to.end(), [&](const Member& m) { return m.number == number; });
     if (at == to.end() || at->id == id_ || to.size() < 2) return false;
     to.erase(at);
-    change(now_, to);
+    propose_members(now_, to);
     return true;
 }
 
--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -33,16 +33,17 @@
       commit_(snapshot_.index),
       applied_(snapshot_.index),
       kept_(snapshot_.index + log_.size()) {
-    if (id_ == kNobody) throw Broken("a member without an id");
+    if (id_ == kNoMember) throw Broken("the stored state has no member id");
     Term last = snapshot_.term;
     for (const Entry& entry : log_) {
-        if (entry.term < last || entry.term > term_) throw Broken("the terms of the log make no sense");
+        if (entry.term < last || entry.term > term_)
+            throw Broken("stored log has decreasing terms or a term above the current one");
         last = entry.term;
     }
     now_ = now;
-    restored_ = true;  // whoever applies begins with the snapshot
-    read_members();
-    set_election(now);
+    restored_ = true;  // the first Ready makes the caller load the snapshot
+    reload_members();
+    reset_election_timeout(now);
 }
 
 const Member* RaftNode::find(MemberId id) const {
@@ -66,13 +67,13 @@
     return index == snapshot_.index ? snapshot_.term : log_[index - first()].term;
 }
 
-bool RaftNode::as_new(const Message& m) const {
+bool RaftNode::is_log_up_to_date(const Message& m) const {
     const Term mine = term_at(last());
     return m.log_term > mine || (m.log_term == mine && m.index >= last());
 }
 
-bool RaftNode::hears_leader(Millis now) const {
-    return role_ == Role::leader || (leader_ != kNobody && now < leader_heard_ + settings_.election);
+bool RaftNode::has_live_leader(Millis now) const {
+    return role_ == Role::leader || (leader_ != kNoMember && now < leader_heard_ + settings_.election);
 }
 
 std::optional<std::uint32_t> RaftNode::leader_number() const {
@@ -80,7 +81,9 @@
     return member ? std::optional(member->number) : std::nullopt;
 }
 
-void RaftNode::set_election(Millis now) { election_due_ = now + settings_.election * (1 + lots_.unit()); }
+void RaftNode::reset_election_timeout(Millis now) {
+    election_due_ = now + settings_.election * (1 + lots_.unit());
+}
 
 Message RaftNode::message(Message::Kind kind, MemberId to) const {
     Message m;
@@ -106,36 +109,37 @@
     log_.push_back(std::move(entry));
     const Index index = last();
     unkept_from_ = unkept_from_ == 0 ? index : std::min(unkept_from_, index);
-    if (log_.back().kind == Entry::Kind::members) read_members();
+    if (log_.back().kind == Entry::Kind::members) reload_members();
 }
 
 void RaftNode::truncate(Index from) {
-    if (from <= commit_) throw Broken("a committed entry would be replaced");
+    if (from <= commit_) throw Broken("an append message conflicts with a committed entry");
     log_.resize(from - first());
     unkept_from_ = unkept_from_ == 0 ? from : std::min(unkept_from_, from);
     kept_ = std::min(kept_, from - 1);
-    if (members_at_ >= from) read_members();
+    if (members_at_ >= from) reload_members();
 }
 
 void RaftNode::on_message(Millis now, const Message& m) {
     now_ = now;
     if (retired_) return;
-    if (m.fleet != settings_.fleet || m.from == id_ || m.from == kNobody ||
+    if (m.fleet != settings_.fleet || m.from == id_ || m.from == kNoMember ||
         (m.to != id_ && m.kind != Message::Kind::join)) {
         ++counts_.dropped;
         return;
     }
     if (m.kind == Message::Kind::gone) {
-        // Of this very run, and by somebody who is not behind: a founder's word of an hour ago ends nobody.
+        // Valid only for this run and from a sender that is not behind: a delayed message from an earlier
+        // term must not retire this member.
         if (m.run == run_ && m.term >= term_) retired_ = true;
         return;
     }
-    if (rolled_back(m)) {
+    if (is_stale_or_rolled_back(m)) {
         ++counts_.dropped;
         return;
     }
     if (m.kind == Message::Kind::join) return on_join(now, m);
-    // A leader tells whoever is no member any more.
+    // The leader informs senders that are no longer members.
     const Term theirs = m.kind == Message::Kind::ask_prevote ? m.term - 1 : m.term;
     if (leads() && !changing() && !find(m.from) && theirs <= term_) {
         Message gone = reply(Message::Kind::gone, m);
@@ -146,32 +150,33 @@
     switch (m.kind) {
         case Message::Kind::ask_prevote: {
             Message answer = reply(Message::Kind::prevote, m);
-            answer.ok = m.term > term_ && !hears_leader(now) && as_new(m);
+            answer.ok = m.term > term_ && !has_live_leader(now) && is_log_up_to_date(m);
             if (answer.ok) answer.term = m.term;
             out_.push_back(std::move(answer));
             return;
         }
         case Message::Kind::prevote:
-            if (!m.ok && m.term > term_) return follow(now, m.term, kNobody);
+            if (!m.ok && m.term > term_) return become_follower(now, m.term, kNoMember);
             if (role_ != Role::prevoting || m.term != term_ + 1) return;
             votes_[m.from] = m.ok;
             return count_votes(now);
         case Message::Kind::ask_vote: {
-            // A term must not grow because of somebody who was cut off, unless the leader itself wishes it.
-            if (hears_leader(now) && !m.ok) return;
-            if (m.term > term_) follow(now, m.term, kNobody);
+            // A member that was partitioned must not raise the term while there is a leader, unless that
+            // leader requested the election.
+            if (has_live_leader(now) && !m.ok) return;
+            if (m.term > term_) become_follower(now, m.term, kNoMember);
             Message answer = reply(Message::Kind::vote, m);
-            answer.ok = m.term == term_ && (voted_ == kNobody || voted_ == m.from) && as_new(m);
+            answer.ok = m.term == term_ && (voted_ == kNoMember || voted_ == m.from) && is_log_up_to_date(m);
             if (answer.ok) {
                 if (voted_ != m.from) vote_changed_ = true;
                 voted_ = m.from;
-                set_election(now);
+                reset_election_timeout(now);
             }
             out_.push_back(std::move(answer));
             return;
         }
         case Message::Kind::vote:
-            if (m.term > term_) return follow(now, m.term, kNobody);
+            if (m.term > term_) return become_follower(now, m.term, kNoMember);
             if (role_ != Role::candidate || m.term != term_) return;
             votes_[m.from] = m.ok;
             return count_votes(now);
@@ -205,7 +210,7 @@
     log_.erase(log_.begin(), log_.begin() + static_cast<std::ptrdiff_t>(index - snapshot_.index));
     snapshot_ = std::move(s);
     snapshot_changed_ = true;
-    // A snapshot replaces what it covers; what follows goes with it.
+    // Persisting a snapshot replaces the stored log, so the remaining entries must be written again with it.
     unkept_from_ = log_.empty() ? 0 : first();
     kept_ = std::min(kept_, last());
     members_at_ = std::max(members_at_, snapshot_.index);
@@ -214,7 +219,7 @@
 bool RaftNode::has_ready() const {
     if (taken_) return false;
     if (round_wanted_ && role_ == Role::leader) {
-        // The next round begins when the last has come back, or with the heartbeat.
+        // The next round starts once a voter has acknowledged the last one, or with the heartbeat.
         for (const auto& [id, peer] : peers_)
             if (voter(id) && peer.round >= round_) return true;
         if (majority() == 1) return true;
@@ -225,9 +230,10 @@
 
 Ready RaftNode::take_ready() {
     if (round_wanted_ && role_ == Role::leader) {
-        bool back = majority() == 1;
-        for (const auto& [id, peer] : peers_) back = back || (voter(id) && peer.round >= round_);
-        if (back) broadcast(now_);
+        bool acknowledged = majority() == 1;
+        for (const auto& [id, peer] : peers_)
+            acknowledged = acknowledged || (voter(id) && peer.round >= round_);
+        if (acknowledged) broadcast(now_);
     }
     if (role_ == Role::leader)
         for (const auto& [id, peer] : peers_)
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -1,25 +1,27 @@
-// One member of a group that agrees on a log: Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum,
-// reads by read-index, hand-over of the lead and one change of members at a time. Entry type of the package:
-// RaftNode. Called by lease::Office and control::Replica, in the programs and in simulated worlds alike; free
-// of I/O. docs/design/agree.md, docs/design/control-safety.md.
+// One Raft member (Ongaro and Ousterhout 2014) with pre-vote, check-quorum, linearizable reads by read-index,
+// leadership transfer and single-server membership changes. Main type: RaftNode. Used by lease::Office and
+// control::Replica, both in the programs and in simulations. Free of I/O and not thread-safe.
+// See docs/design/agree.md and docs/design/control-safety.md.
 //
-// Events go in with their time: on_message(), tick(), propose(), confirm(). After each, while has_ready():
-// take_ready(), carry it out in its order, and say persisted(). The order is the whole promise: what is to be
-// kept is written and synced before anything of `messages` leaves and before persisted(). A disk that can't
-// be written ends the node: it is made anew from what the disk holds.
+// The caller passes in events with the current time: on_message(), tick(), propose(), confirm_leadership().
+// After each one, while has_ready(), it calls take_ready(), carries out the result in the order given there,
+// and calls persisted(). Safety depends on that order: the state to persist must be written and synced before
+// any of `messages` is sent and before persisted() is called. If a write fails, the node must be discarded
+// and created again from what the disk holds.
 //
-// Invariants (Ongaro's names), and the file that keeps each:
-//   one vote a term          a vote leaves after it is kept, and a node that lost its disk is another member
-//                            (election.cpp)
+// Invariants, under the names of the Raft paper where it has one, with the file that maintains each:
+//   election safety          a vote is sent only after it is persisted, and a node that lost its disk comes
+//                            back as another member (election.cpp)
 //   leader append-only       a leader never drops entries of its own log (raft_node.cpp, truncate())
-//   log matching             an entry is taken only behind the one that the leader has before it
+//   log matching             an entry is accepted only after the entry that precedes it in the leader's log
 //                            (replication.cpp, on_append())
-//   leader completeness      only a log as new as a majority's is voted for; commits count entries of the own
-//                            term (election.cpp, replication.cpp)
-//   committed stays          a committed entry is never replaced: Broken if a message asks for it
-//   one change at a time     no change of members while one is not committed, none before an own entry is
-//                            (membership.cpp)
-//   a snapshot is whole      it takes effect after its last piece and its digest (snapshot_transfer.cpp)
+//   leader completeness      votes go only to candidates whose log is at least as up to date; only entries of
+//                            the current term are committed by counting (election.cpp, replication.cpp)
+//   state machine safety     a committed entry is never replaced; a message that requires it throws Broken
+//   one change at a time     no membership change while another is uncommitted, and none before the leader
+//                            has committed an entry of its own term (membership.cpp)
+//   snapshot integrity       a snapshot is installed only after its last piece has arrived and its digest
+//                            matches (snapshot_transfer.cpp)
 #pragma once
 
 #include <map>
@@ -31,24 +33,24 @@
 #include "random.hpp"
 
 namespace cobaltshift::check {
-struct Describe;  // of the explicit-state checker (sim/check): reads all that a core knows
+struct Describe;  // explicit-state model checker (sim/check): reads the complete state of a node
 }
 
 namespace cobaltshift::raft {
 
-// What can't be if everybody keeps to the protocol: the node must stop, and say so.
+// A state that is impossible if all members follow the protocol. The node must stop and report it.
 struct Broken : std::logic_error {
     using std::logic_error::logic_error;
 };
 
 struct Settings {
     std::uint64_t fleet = 0;
-    std::uint32_t number = 0;   // this one's
-    std::uint32_t keepers = 3;  // numbers that may be members: 0 to keepers - 1
-    Millis heartbeat = 100;     // of a leader, and the longest wait of a batch for the round before it
-    Millis election = 1000;     // without a leader, before one stands: up to twice as long, drawn
-    std::size_t batch_bytes = 256 * 1024;        // in one message
-    std::size_t window_bytes = 4 * 1024 * 1024;  // sent to one member and not yet acknowledged
+    std::uint32_t number = 0;   // this member's number
+    std::uint32_t keepers = 3;  // only numbers from 0 to keepers - 1 may become members
+    Millis heartbeat = 100;     // interval of a leader's heartbeats; bounds the wait for the next round
+    Millis election = 1000;     // minimum election timeout; the actual one is random, up to twice as long
+    std::size_t batch_bytes = 256 * 1024;        // entries in one message
+    std::size_t window_bytes = 4 * 1024 * 1024;  // entries in flight to one member, not yet acknowledged
 };
 
 struct Committed {
@@ -56,53 +58,58 @@
     Entry entry;
 };
 
-// To be done, in this order.
+// Work for the caller, to be done in this order.
 struct Ready {
-    // 1. Keep, and sync; `from`: entries kept from it on are replaced by `entries` (0: none are).
-    std::optional<Stored> vote;        // its term and voted alone
-    std::optional<Snapshot> snapshot;  // replaces all that was kept; `entries` are all that follow it
+    // 1. Write and sync. Stored entries from index `from` on are replaced by `entries`; with from == 0 the
+    // stored entries stay as they are.
+    std::optional<Stored> vote;        // only `term` and `voted` are set
+    std::optional<Snapshot> snapshot;  // replaces the stored log; `entries` is everything after the snapshot
     Index from = 0;
     std::vector<Entry> entries;
     bool writes() const { return vote || snapshot || from > 0; }
-    // 2. Say persisted(), then send.
+    // 2. Call persisted(), then send.
     std::vector<Message> messages;
-    // 3. Apply: first the state as of `restored`, where given, then these.
+    // 3. Apply: first load the state from `restored`, if set, then apply `committed`.
     std::optional<Snapshot> restored;
     std::vector<Committed> committed;
-    // 4. Questions that have been answered by a majority: what was committed before each was asked is
-    // applied.
+    // 4. Ids passed to confirm_leadership() for which a majority has confirmed the leadership. Everything
+    // committed before the call has been applied by now.
     std::vector<std::uint64_t> confirmed;
-    bool retired = false;  // this life is over: the folder is to be emptied, and a new life begun
+    bool retired = false;  // this member id is dead: clear the folder and start over as a new member
 };
 
 class RaftNode {
 public:
     enum class Role { follower, prevoting, candidate, leader };
 
-    // `stored` with an id; `draw` is any number that no other run drew. Throws Broken if the log makes no
-    // sense.
+    // `stored` must have an id. `draw` is a random number that identifies this run and seeds the election
+    // timeouts. Throws Broken if the stored log is inconsistent.
     RaftNode(const Settings& settings, Stored stored, Millis now, std::uint64_t draw);
 
     void tick(Millis now);
-    Millis due() const;  // of the next tick
+    Millis due() const;  // time of the next tick()
     void on_message(Millis now, const Message& message);
 
-    // For the leader only. The index it will have if it is ever committed; none: not the leader, or too long.
+    // Appends an entry to the leader's log. Returns the index it will have if it is ever committed; none if
+    // this member does not lead, a leadership transfer is running, or `data` exceeds kMaxEntryBytes.
     std::optional<Index> propose(std::string data);
-    // A question that needs this keeper to be the leader still: `confirmed` names it once a majority has
-    // acknowledged a round begun after now. False: not the leader, or not ready(leads()).
-    bool confirm(std::uint64_t question);
-    // Drops a member for good or takes one up that asks to join. False: not now (not the leader, a change is
-    // on its way, the last member, or this keeper itself).
+    // Read-index: Ready::confirmed will contain `read_id` once a majority has acknowledged a round of
+    // messages that was started after this call, which proves that this member still led at the time of the
+    // call. False: not leads(), a leadership transfer is running, or too many calls are pending.
+    bool confirm(std::uint64_t read_id);
+    // Proposes to remove a member permanently. False: not possible now, because this member does not lead,
+    // another change is uncommitted, or it is this member, the last one, or no member.
     bool remove(std::uint32_t number);
-    // Hands the lead to the voter that has most of the log: proposals and questions are refused from here on,
-    // until another leads or an election's time has passed. False: it does not lead, or nobody is there.
+    // Starts a leadership transfer to the recently heard voter with the longest matching log. propose() and
+    // confirm_leadership() are refused until another member leads or settings.election has passed. False:
+    // this member does not lead, or no voter was heard recently.
     bool transfer_leadership(Millis now);
-    bool transferring_leadership() const { return transfer_to_ != kNobody; }
-    // Of a leader: up to where every member that is heard has the log. Compacted further, it would send the
-    // rest of them a snapshot. Of others: the end of the log.
-    Index held_by_all(Millis now) const;
-    // All up to `index` is in `data`, which the caller has applied.
+    bool transferring_leadership() const { return transfer_to_ != kNoMember; }
+    // On a leader: the lowest match index among the members heard recently. If the log is compacted beyond
+    // it, those that lag need a snapshot. On other members: the last index of the log.
+    Index replicated_to_all(Millis now) const;
+    // Replaces all entries up to `index` by the snapshot `data`. Ignored unless `index` has been applied and
+    // is beyond the current snapshot.
     void compact(Index index, std::string data);
 
     bool has_ready() const;
@@ -115,8 +122,9 @@
     Term term() const { return term_; }
     MemberId voted() const { return voted_; }
     const Snapshot& snapshot() const { return snapshot_; }
-    const std::vector<Entry>& log() const { return log_; }  // from first() on
-    // Leads, and all that earlier terms committed is committed here.
+    const std::vector<Entry>& log() const { return log_; }  // starting at first()
+    // True if this member is the leader and has committed an entry of its own term, so that everything
+    // committed in earlier terms is known to be committed here.
     bool leads() const { return role_ == Role::leader && commit_ >= term_start_; }
     MemberId leader() const { return leader_; }
     std::optional<std::uint32_t> leader_number() const;
@@ -127,17 +135,17 @@
     bool changing() const { return members_at_ > commit_; }
     bool member() const { return find(id_) != nullptr; }
     bool retired() const { return retired_; }
-    // Of a leader: how far each member has stored, and when it was last heard.
+    // Replication progress of another member, as the leader sees it.
     struct Peer {
         Index match = 0, next = 1;
-        std::size_t out_bytes = 0;  // sent beyond match
-        bool match_known = false;   // by a word of its own in this term
-        Millis progressed_at = 0;   // when match last grew, or all beyond it was sent anew
-        std::uint64_t round = 0;    // the newest acknowledged
-        Millis heard = 0;
-        bool active = false;                     // heard in this term
-        std::uint64_t match_starts = 0;          // the run that told of `match`
-        std::optional<SnapshotSender> transfer;  // of what the log no longer holds
+        std::size_t out_bytes = 0;       // in flight: sent beyond `match`
+        bool match_known = false;        // the member itself has reported its log in this term
+        Millis progressed_at = 0;        // when `match` last grew, or everything beyond it was sent again
+        std::uint64_t round = 0;         // newest round that it has acknowledged
+        Millis heard = 0;                // when its last message arrived
+        bool active = false;             // heard from in this term
+        std::uint64_t match_starts = 0;  // start counter of the run that reported `match`
+        std::optional<SnapshotSender> transfer;  // running snapshot transfer, if the log was compacted
     };
     const std::map<MemberId, Peer>& peers() const { return peers_; }
 
@@ -148,50 +156,53 @@
 
 private:
     friend struct check::Describe;
-    struct Seen {  // of another id
+    struct KnownRun {  // newest run and term seen of another member id
         Run run;
         Term term = 0;
     };
-    struct Question {
+    struct PendingRead {
         std::uint64_t number, round;
     };
     const Member* find(MemberId id) const;
     bool voter(MemberId id) const;
     std::size_t majority() const;
-    Term term_at(Index index) const;  // of snapshot_.index to last()
+    Term term_at(Index index) const;  // for snapshot_.index <= index <= last()
     Entry& at(Index index) { return log_[index - first()]; }
-    bool as_new(const Message& message) const;
-    bool hears_leader(Millis now) const;
+    bool is_log_up_to_date(const Message& message) const;
+    bool has_live_leader(Millis now) const;
 
     void append(Entry entry);
     void truncate(Index from);
-    void read_members();  // the newest in the log
-    void follow(Millis now, Term term, MemberId leader);
-    void set_election(Millis now);
-    enum class Stand { pre_vote, election, by_leaders_wish };
-    void stand(Millis now, Stand how);
+    void reload_members();  // sets members_ from the newest membership entry, or from the snapshot
+    void become_follower(Millis now, Term term, MemberId leader);
+    void reset_election_timeout(Millis now);
+    enum class Campaign { pre_vote, election, leadership_transfer };
+    void start_campaign(Millis now, Campaign how);
     void count_votes(Millis now);
-    void lead(Millis now);
-    void broadcast(Millis now, bool again = false);  // `again`: also what seems lost
+    void become_leader(Millis now);
+    // Starts a new round: sends every member entries or a heartbeat. `again`: entries that seem lost are
+    // sent again.
+    void broadcast(Millis now, bool again = false);
     void send_entries(MemberId to, bool even_if_empty);
-    Millis resend_after(const Peer& peer) const;
-    std::optional<Message> hear_leader(Millis now, const Message& m);
+    Millis resend_timeout(const Peer& peer) const;
+    std::optional<Message> accept_leader_message(Millis now, const Message& m);
     void on_append(Millis now, const Message& m);
     void send_snapshot(Millis now, MemberId to, Peer& peer);
     void on_snapshot_piece(Millis now, const Message& m);
     void on_snapshot_received(Millis now, const Message& m);
     void install(const Snapshot& snapshot);
-    // Of a member's answer to this leader: notes that it was heard. None: it is nobody's, or of another term.
-    Peer* hear_member(Millis now, const Message& m);
+    // Records contact with the sender of a response to this leader. Null: the sender is no member, its folder
+    // was rolled back, or the response belongs to another term.
+    Peer* accept_member_response(Millis now, const Message& m);
     void on_timeout_now(Millis now, const Message& m);
-    void ask_to_lead();
+    void send_timeout_now();
     void on_appended(Millis now, const Message& m);
     void on_join(Millis now, const Message& m);
-    bool rolled_back(const Message& m);
+    bool is_stale_or_rolled_back(const Message& m);
     void maybe_commit();
     void confirm_reads();
-    void change(Millis now, const Members& to);
-    void reconsider_members(Millis now);
+    void propose_members(Millis now, const Members& to);
+    void advance_membership(Millis now);
     Message message(Message::Kind kind, MemberId to) const;
     Message reply(Message::Kind kind, const Message& to) const;
 
@@ -202,43 +213,43 @@
     Term term_;
     MemberId voted_;
     Snapshot snapshot_;
-    std::vector<Entry> log_;  // from first() on
+    std::vector<Entry> log_;  // starting at first()
     Members members_;
-    Index members_at_ = 0;  // of the entry they are from, or the snapshot's
+    Index members_at_ = 0;  // index of the entry or snapshot that members_ is from
     Index commit_, applied_, kept_;
-    Index unkept_from_ = 0;  // the lowest entry to be kept anew; 0: none
-    Index keeping_to_ = 0;
+    Index unkept_from_ = 0;  // lowest index that still has to be persisted; 0: none
+    Index keeping_to_ = 0;   // last index covered by the Ready that is being persisted
     bool taken_ = false, vote_changed_ = false, snapshot_changed_ = false, restored_ = false,
          retired_ = false, retired_told_ = false;
 
     Role role_ = Role::follower;
-    MemberId leader_ = kNobody;
+    MemberId leader_ = kNoMember;
     Millis leader_heard_ = -1e18, election_due_ = 0, heartbeat_due_ = 0, join_due_ = 0, now_ = 0;
     std::map<MemberId, bool> votes_;
     std::map<MemberId, Peer> peers_;
-    std::map<MemberId, Seen> seen_;  // bounded by what members and joiners there are
+    std::map<MemberId, KnownRun> seen_;  // at most kMaxTrackedMembers entries
     struct Joiner {
         MemberId id;
         Millis heard;
     };
     std::map<std::uint32_t, Joiner> joiners_;
     SnapshotReceiver receiver_;
-    MemberId transfer_to_ = kNobody;  // who is to lead next
+    MemberId transfer_to_ = kNoMember;  // target of a running leadership transfer
     Millis transfer_until_ = 0;
     bool transfer_asked_ = false;
     Index term_start_ = 0;
-    Index commit_before_ = 0;  // as of the heartbeat before
-    std::uint64_t round_ = 0;  // the newest
+    Index commit_before_ = 0;  // commit_ as of the previous heartbeat
+    std::uint64_t round_ = 0;  // newest round started
     bool round_wanted_ = false;
-    std::vector<Question> questions_;
+    std::vector<PendingRead> questions_;
     std::vector<std::uint64_t> confirmed_;
     std::vector<Message> out_;
     Counts counts_;
 };
 
-// What the disk of one of the first members holds before its first start: all of `numbers` are members.
+// Initial state of one of the first members: all numbers from 0 to keepers - 1 are voters.
 Stored bootstrap(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers);
-// What the disk of a later member holds, with an id drawn by the caller (kFirstDrawn or more).
+// Initial state of a member that joins later. `id` is a random number of at least kFirstDrawn.
 Stored newcomer(std::uint64_t fleet, MemberId id);
 
 }  // namespace cobaltshift::raft
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -1,4 +1,4 @@
-// Replication of the log, commits, and reads confirmed by a majority (read-index).
+// RaftNode: log replication, commits, and reads confirmed by a majority (read-index).
 #include <algorithm>
 
 #include "raft/raft_node.hpp"
@@ -6,8 +6,8 @@
 namespace cobaltshift::raft {
 
 namespace {
-constexpr std::uint64_t kMostQuestions = 100000;
-constexpr double kNarrowestLinkBytesPerMs = 500;  // 4 Mbit/s
+constexpr std::uint64_t kMaxPendingReads = 100000;
+constexpr double kMinLinkBytesPerMs = 500;  // 4 Mbit/s, the slowest link supported
 }  // namespace
 
 void RaftNode::broadcast(Millis now, bool again) {
@@ -15,13 +15,13 @@
     round_wanted_ = false;
     for (auto& [id, peer] : peers_) {
         if (again && peer.match_known && peer.match + 1 < peer.next &&
-            now >= peer.progressed_at + resend_after(peer)) {
+            now >= peer.progressed_at + resend_timeout(peer)) {
             peer.next = peer.match + 1;
             peer.out_bytes = 0;
             peer.progressed_at = now;
         }
         if (peer.next <= snapshot_.index) {
-            Message m = message(Message::Kind::append, id);  // a heartbeat all the same
+            Message m = message(Message::Kind::append, id);  // heartbeat in addition to the snapshot
             m.index = m.log_term = 0;
             m.commit = 0;
             m.round = round_;
@@ -34,19 +34,19 @@
     confirm_reads();
 }
 
-// What was sent and got no word for so long may be lost: a datagram soon, what is long not before even a
-// narrow link has carried it. Sent again too early, it would fill that link.
-Millis RaftNode::resend_after(const Peer& peer) const {
-    return settings_.heartbeat + static_cast<double>(peer.out_bytes) / kNarrowestLinkBytesPerMs;
+// Time without an acknowledgement after which entries in flight are sent again. It grows with the bytes in
+// flight, so that even the slowest link has had time to deliver them: resending earlier would congest it.
+Millis RaftNode::resend_timeout(const Peer& peer) const {
+    return settings_.heartbeat + static_cast<double>(peer.out_bytes) / kMinLinkBytesPerMs;
 }
 
 void RaftNode::send_entries(MemberId to, bool even_if_empty) {
     Peer& peer = peers_.at(to);
-    if (peer.next <= snapshot_.index) return;  // a snapshot first, with the next round
+    if (peer.next <= snapshot_.index) return;  // needs a snapshot, which the next round sends
     do {
         Message m = message(Message::Kind::append, to);
-        // A heartbeat overtakes entries that are on their way: it builds on what is known to have arrived, as
-        // a gap before it would have them all sent again.
+        // A heartbeat can overtake entries in flight. It therefore refers to the last acknowledged entry: if
+        // the receiver saw a gap, it would reject the heartbeat and all entries would be sent again.
         const bool may_send = peer.next <= last() && peer.out_bytes < settings_.window_bytes;
         const bool overtakes =
             !may_send && peer.match_known && peer.out_bytes > 0 && peer.match >= snapshot_.index;
@@ -70,7 +70,7 @@
     } while (peer.next <= last() && peer.out_bytes < settings_.window_bytes);
 }
 
-Index RaftNode::held_by_all(Millis now) const {
+Index RaftNode::replicated_to_all(Millis now) const {
     Index least = last();
     for (const auto& [id, peer] : peers_)
         if (now <= peer.heard + 2 * settings_.election) least = std::min(least, peer.match);
@@ -83,15 +83,15 @@
     return last();
 }
 
-bool RaftNode::confirm(std::uint64_t question) {
-    if (!leads() || retired_ || transferring_leadership() || questions_.size() >= kMostQuestions)
+bool RaftNode::confirm(std::uint64_t read_id) {
+    if (!leads() || retired_ || transferring_leadership() || questions_.size() >= kMaxPendingReads)
         return false;
-    questions_.push_back({question, round_ + 1});
+    questions_.push_back({read_id, round_ + 1});
     round_wanted_ = true;
     return true;
 }
 
-// The rounds that a majority has acknowledged answer what was asked before they began.
+// A round that a majority has acknowledged confirms all reads that were requested before it was started.
 void RaftNode::confirm_reads() {
     if (role_ != Role::leader || questions_.empty() || commit_ < term_start_) return;
     std::vector<std::uint64_t> rounds;
@@ -102,10 +102,10 @@
     }
     if (rounds.size() < majority()) return;
     std::sort(rounds.rbegin(), rounds.rend());
-    const std::uint64_t held = rounds[majority() - 1];
-    for (const Question& question : questions_)
-        if (question.round <= held) confirmed_.push_back(question.number);
-    std::erase_if(questions_, [&](const Question& q) { return q.round <= held; });
+    const std::uint64_t acknowledged = rounds[majority() - 1];
+    for (const PendingRead& read_id : questions_)
+        if (read_id.round <= acknowledged) confirmed_.push_back(read_id.number);
+    std::erase_if(questions_, [&](const PendingRead& q) { return q.round <= acknowledged; });
 }
 
 void RaftNode::maybe_commit() {
@@ -118,39 +118,45 @@
     }
     if (matches.size() < majority()) return;
     std::sort(matches.rbegin(), matches.rend());
-    const Index held = matches[majority() - 1];
-    if (held <= commit_ || term_at(held) != term_) return;  // of earlier terms only by one of this (5.4.2)
-    commit_ = held;
-    if (!changing() && !voter(id_)) return follow(now_, term_, kNobody);  // dropped by its own word
+    const Index replicated = matches[majority() - 1];
+    // Entries of earlier terms are committed only together with one of this term (Raft paper, 5.4.2).
+    if (replicated <= commit_ || term_at(replicated) != term_) return;
+    commit_ = replicated;
+    if (!changing() && !voter(id_))
+        return become_follower(now_, term_, kNoMember);  // removed itself: steps down
     confirm_reads();
 }
-// What a leader's message is answered with; none: it was no leader's any more, and has been told so.
-std::optional<Message> RaftNode::hear_leader(Millis now, const Message& m) {
+
+// The response to prepare for a leader's message. None: the sender's term is outdated, which it has been
+// told.
+std::optional<Message> RaftNode::accept_leader_message(Millis now, const Message& m) {
     Message answer = reply(Message::Kind::appended, m);
     answer.round = m.round;
     if (m.term < term_) {
         out_.push_back(std::move(answer));
         return {};
     }
-    if (role_ == Role::leader && m.term == term_) throw Broken("two leaders in one term");
-    follow(now, m.term, m.from);
+    if (role_ == Role::leader && m.term == term_)
+        throw Broken("another member claims to lead in this leader's term");
+    become_follower(now, m.term, m.from);
     leader_heard_ = now;
     answer.term = term_;
     return answer;
 }
 
 void RaftNode::on_append(Millis now, const Message& m) {
-    auto heard = hear_leader(now, m);
-    if (!heard) return;
-    Message& answer = *heard;
+    auto accepted = accept_leader_message(now, m);
+    if (!accepted) return;
+    Message& answer = *accepted;
     if (m.index > last()) {
         answer.index = last();
     } else if (m.index < snapshot_.index) {
-        // All up to the snapshot is committed here; a leader that knows less of us begins from there.
+        // Everything up to the snapshot is committed here; the leader continues after the commit index.
         answer.index = commit_;
         answer.ok = true;
     } else if (term_at(m.index) != m.log_term) {
-        // Back to before this term's first entry: one step for each term, not for each entry.
+        // Goes back to before the first entry of the conflicting term: one round trip for each term instead
+        // of one for each entry.
         const Term wrong = term_at(m.index);
         Index back = m.index;
         while (back > snapshot_.index && term_at(back) == wrong) --back;
@@ -173,9 +179,9 @@
     out_.push_back(std::move(answer));
 }
 
-RaftNode::Peer* RaftNode::hear_member(Millis now, const Message& m) {
+RaftNode::Peer* RaftNode::accept_member_response(Millis now, const Message& m) {
     if (m.term > term_) {
-        follow(now, m.term, kNobody);
+        become_follower(now, m.term, kNoMember);
         return nullptr;
     }
     if (role_ != Role::leader || m.term != term_) return nullptr;
@@ -183,7 +189,8 @@
     if (at == peers_.end()) return nullptr;
     Peer& peer = at->second;
     if (m.run.starts > peer.match_starts && peer.match > 0 && m.last < peer.match) {
-        // It had stored more than this in an earlier run: its disk is an older one.
+        // An earlier run of this member had acknowledged more than its log holds now: its folder was rolled
+        // back.
         ++counts_.rolled_back;
         Message gone = reply(Message::Kind::gone, m);
         gone.run = m.run;
@@ -197,11 +204,11 @@
 }
 
 void RaftNode::on_appended(Millis now, const Message& m) {
-    Peer* member = hear_member(now, m);
+    Peer* member = accept_member_response(now, m);
     if (!member) return;
     Peer& peer = *member;
     if (m.ok) {
-        if (m.index > last()) return;  // of no log of this leader's
+        if (m.index > last()) return;  // refers to entries that this leader doesn't have
         peer.match_known = true;
         if (m.index > peer.match) {
             peer.match = m.index;
@@ -213,7 +220,7 @@
         }
         peer.next = std::max(peer.next, peer.match + 1);
         if (peer.next > snapshot_.index) peer.transfer.reset();
-        if (m.from == transfer_to_) ask_to_lead();
+        if (m.from == transfer_to_) send_timeout_now();
     } else if (m.index + 1 < peer.next && m.index >= peer.match) {
         peer.next = m.index + 1;
         peer.out_bytes = 0;
--- a/src/raft/snapshot_transfer.cpp
+++ b/src/raft/snapshot_transfer.cpp
@@ -38,7 +38,7 @@
 
 void SnapshotSender::on_received(Millis now, std::size_t offset) {
     if (offset > snapshot_->data.size()) return;
-    if (offset < acknowledged_) {  // it has lost what it held
+    if (offset < acknowledged_) {  // the receiver has lost its partial snapshot
         acknowledged_ = sent_ = offset;
         progressed_at_ = now;
     } else if (offset > acknowledged_) {
@@ -81,9 +81,9 @@
     return held.snapshot;
 }
 
-// ---- Of a member -----------------------------------------------------------------------------------------
+// ---- RaftNode --------------------------------------------------------------------------------------------
 
-// As much of the snapshot as the window allows, to a member that lacks what the log no longer holds.
+// Sends as many pieces as the window allows to a member that needs entries which were compacted.
 void RaftNode::send_snapshot(Millis now, MemberId to, Peer& peer) {
     if (!peer.transfer || peer.transfer->snapshot().index != snapshot_.index) {
         peer.transfer.emplace(std::make_shared<const Snapshot>(snapshot_), now);
@@ -99,10 +99,10 @@
 }
 
 void RaftNode::on_snapshot_piece(Millis now, const Message& m) {
-    auto heard = hear_leader(now, m);
-    if (!heard) return;
-    Message& answer = *heard;
-    if (m.piece->index <= commit_) {  // nothing in it that is not here
+    auto accepted = accept_leader_message(now, m);
+    if (!accepted) return;
+    Message& answer = *accepted;
+    if (m.piece->index <= commit_) {  // everything in it is committed here already
         answer.ok = true;
         answer.index = commit_;
         out_.push_back(std::move(answer));
@@ -124,8 +124,8 @@
 }
 
 void RaftNode::install(const Snapshot& snapshot) {
-    const bool goes_on = snapshot.index <= last() && term_at(snapshot.index) == snapshot.term;
-    if (goes_on)
+    const bool log_continues = snapshot.index <= last() && term_at(snapshot.index) == snapshot.term;
+    if (log_continues)
         log_.erase(log_.begin(),
                    log_.begin() + static_cast<std::ptrdiff_t>(snapshot.index - snapshot_.index));
     else
@@ -133,14 +133,14 @@
     snapshot_ = snapshot;
     snapshot_changed_ = restored_ = true;
     commit_ = applied_ = snapshot.index;
-    // What follows it is kept anew with it.
+    // Persisting the snapshot replaces the stored log, so the remaining entries are written again.
     kept_ = snapshot.index;
     unkept_from_ = log_.empty() ? 0 : first();
-    read_members();
+    reload_members();
 }
 
 void RaftNode::on_snapshot_received(Millis now, const Message& m) {
-    Peer* peer = hear_member(now, m);
+    Peer* peer = accept_member_response(now, m);
     if (!peer) return;
     if (peer->transfer && peer->transfer->snapshot().index == m.index) {
         peer->transfer->on_received(now, m.offset);
--- a/src/raft/snapshot_transfer.hpp
+++ b/src/raft/snapshot_transfer.hpp
@@ -1,11 +1,12 @@
-// Transfer of a snapshot in pieces, one sender for each member that lags behind the log, one receiver in each
-// member. Entry types: SnapshotSender, SnapshotReceiver. Called by RaftNode; free of I/O.
+// Transfer of a snapshot in pieces: the leader has one SnapshotSender for each member that lags behind the
+// compacted log, and each member has one SnapshotReceiver. Used by RaftNode. Free of I/O.
 //
 // Invariants:
-//   the sender has at most kSnapshotWindowBytes out that are not acknowledged, so that heartbeats and entries
-//   pass between pieces; it goes on from the last acknowledged byte, also after loss
-//   the receiver holds one snapshot at a time, of kMaxSnapshotBytes at most, and hands out none whose digest
-//   is not the one announced; what it holds of the same snapshot is kept across changes of the leader
+//   The sender has at most kSnapshotWindowBytes in flight, so that heartbeats and entries are not delayed
+//   behind the snapshot. After a loss it continues from the last acknowledged byte.
+//   The receiver holds one snapshot at a time, of at most kMaxSnapshotBytes, and returns it only if its
+//   digest is the one announced. A partial snapshot survives a change of leader if the next one sends the
+//   same.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +20,7 @@
 constexpr std::size_t kSnapshotPieceBytes = 64 * 1024;
 constexpr std::size_t kSnapshotWindowBytes = 2 * kSnapshotPieceBytes;
 
-// XXH3 of a snapshot's data: two snapshots of one index, term and digest are the same bytes.
+// XXH3 of the snapshot's data. Snapshots with equal index, term, size and digest are treated as identical.
 std::uint64_t digest_of(const Snapshot& snapshot);
 
 class SnapshotSender {
@@ -27,11 +28,12 @@
     SnapshotSender(std::shared_ptr<const Snapshot> snapshot, Millis now);
 
     const Snapshot& snapshot() const { return *snapshot_; }
-    // The next piece inside the window; none: all is out, or the window is full.
+    // The next piece to send. None: everything has been sent, or the window is full.
     std::optional<SnapshotPiece> next_piece();
-    // The receiver wants the byte at `offset` next. Offsets past the end are ignored.
+    // The receiver expects the byte at `offset` next. Offsets past the end are ignored; an offset below the
+    // acknowledged one means that it has lost its partial snapshot.
     void on_received(Millis now, std::size_t offset);
-    // Without progress for `after` ms, what is not acknowledged is sent again by next_piece().
+    // After `after` ms without progress, next_piece() starts again at the first unacknowledged byte.
     void retry_if_stalled(Millis now, Millis after);
 
     std::size_t acknowledged() const { return acknowledged_; }
@@ -41,21 +43,22 @@
     std::shared_ptr<const Snapshot> snapshot_;
     std::uint64_t digest_ = 0;
     std::size_t acknowledged_ = 0, sent_ = 0;
-    bool empty_sent_ = false;  // a snapshot without data goes out as one empty piece
+    bool empty_sent_ = false;  // a snapshot without data is sent as one empty piece
     Millis progressed_at_ = 0;
 };
 
 struct PartialSnapshot {
-    Snapshot snapshot;  // its data as far as it has come
+    Snapshot snapshot;  // `data` holds the bytes received so far
     std::uint64_t total = 0, digest = 0;
 };
 
 class SnapshotReceiver {
 public:
-    // The byte that is wanted next. A piece of another snapshot than the one held begins anew.
+    // Stores the piece if it is the next one and returns the offset of the next byte expected. A piece of
+    // another snapshot than the one held discards that one.
     std::size_t on_piece(const SnapshotPiece& piece);
-    // The snapshot, once it is complete and its digest is the announced one; it is held no longer then. One
-    // that is complete and of another digest is dropped.
+    // Releases the snapshot if it is complete and its digest matches. A complete snapshot with a wrong digest
+    // is discarded.
     std::optional<Snapshot> take_complete();
 
     std::size_t held_bytes() const { return held_ ? held_->snapshot.data.size() : 0; }
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -1,4 +1,5 @@
-// What keepers agree on and what they say to one another. Entry type of the package: RaftNode (keeper.hpp).
+// Data types of the Raft implementation: members, log entries, snapshots, messages and persistent state. The
+// main type of the library is RaftNode (raft_node.hpp). Free of I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +10,23 @@
 
 namespace cobaltshift::raft {
 
-using Millis = double;  // of the keeper's own steady clock; never compared with another's
+using Millis = double;  // milliseconds on this member's monotonic clock; never compared across members
 using Term = std::uint64_t;
-using Index = std::uint64_t;  // of an entry, from 1
+using Index = std::uint64_t;  // position of an entry in the log, starting at 1
 
-// Of one life of a keeper: a folder's. Founders have their number + 1, later lives a drawn one from
-// kFirstDrawn on. Whoever lost its folder is somebody else: it can't vote as the one it was.
+// Identifies one incarnation of a member, that is, one data folder. Initial members use their number + 1;
+// every later incarnation gets a random id of at least kFirstDrawn. A member that lost its folder comes back
+// under a new id, because it no longer knows which votes it has cast.
 using MemberId = std::uint64_t;
-constexpr MemberId kNobody = 0, kFirstDrawn = 1ULL << 32;
+constexpr MemberId kNoMember = 0, kFirstDrawn = 1ULL << 32;
 
 constexpr std::size_t kMaxMembers = 9, kMaxEntryBytes = 1024 * 1024, kMaxSnapshotBytes = 8 * 1024 * 1024,
                       kMaxEntriesInMessage = 4096, kMaxMessageBytes = 2 * 1024 * 1024;
 
 struct Member {
-    MemberId id = kNobody;
-    std::uint32_t number = 0;  // its place in everybody's settings
-    bool voter = true;         // else it is catching up
+    MemberId id = kNoMember;
+    std::uint32_t number = 0;  // stable address of the member: the same for all of its incarnations
+    bool voter = true;         // false: a learner that is still catching up
     bool operator==(const Member&) const = default;
 };
 using Members = std::vector<Member>;
@@ -33,11 +35,11 @@
     enum class Kind : std::uint8_t { nothing, data, members };
     Term term = 0;
     Kind kind = Kind::nothing;
-    std::string data;  // of `members`: encode(Members)
+    std::string data;  // for Kind::members: encode(Members)
     bool operator==(const Entry&) const = default;
 };
 
-// All that the entries up to `index` have led to.
+// State of the replicated state machine after applying all entries up to and including `index`.
 struct Snapshot {
     Index index = 0;
     Term term = 0;
@@ -46,17 +48,17 @@
     bool operator==(const Snapshot&) const = default;
 };
 
-// A part of a snapshot on its way.
+// One chunk of a snapshot in transfer.
 struct SnapshotPiece {
     Index index = 0;
     Term term = 0;
     Members members;
-    std::uint64_t offset = 0, total = 0;  // of the data, in bytes
-    std::uint64_t digest = 0;             // of the whole data
+    std::uint64_t offset = 0, total = 0;  // position of this chunk and size of the whole data, in bytes
+    std::uint64_t digest = 0;             // XXH3 of the whole data
     std::string data;
 };
 
-// One run of a keeper's process: its folder's count of starts, and a drawn number.
+// Identifies one process run of a member: the start counter stored in its folder and a random number.
 struct Run {
     std::uint64_t starts = 0, draw = 0;
     bool operator==(const Run&) const = default;
@@ -64,25 +66,25 @@
 
 struct Message {
     enum class Kind : std::uint8_t {
-        ask_prevote,  // index, log_term: the sender's last entry; term: the one it would stand for
-        prevote,      // ok; term: the one asked for, or a refuser's own
-        ask_vote,     // index, log_term: the sender's last entry; ok: by the leader's own wish (timeout_now)
-        vote,         // ok
-        append,       // index, log_term: the entry before `entries`; commit, round
-        appended,     // ok: all up to index is stored; else index is where the leader may try; last, round
-        snapshot,     // no longer spoken; its number stays taken
-        join,         // to nobody in particular: the sender is new and would be a member
-        gone,         // the receiver, in the run named, is no member, or has an older folder than it had
+        ask_prevote,        // index, log_term: the sender's last entry; term: the one it would campaign in
+        prevote,            // ok; term: the requested one if granted, else the responder's own
+        ask_vote,           // index, log_term: the sender's last entry; ok: leadership transfer (timeout_now)
+        vote,               // ok
+        append,             // index, log_term: the entry before `entries`; commit, round
+        appended,           // ok: stored up to index; else index is a hint where to continue; last, round
+        snapshot,           // obsolete and rejected; the number stays reserved
+        join,               // without a receiver id: the sender is new and asks to become a member
+        gone,               // the receiver's run is not that of a member, or its folder was rolled back
         snapshot_piece,     // piece, round
-        snapshot_received,  // index: the snapshot's; offset: the byte wanted next; round
-        timeout_now,        // the receiver is to stand for election at once, by the leader's own wish
+        snapshot_received,  // index: of the snapshot; offset: next byte expected; round
+        timeout_now,        // leadership transfer: the receiver starts an election at once
     };
     Kind kind = Kind::append;
-    std::uint64_t fleet = 0;  // messages of another fleet are dropped
-    MemberId from = kNobody, to = kNobody;
-    std::uint32_t number = 0;     // the sender's
-    std::uint32_t to_number = 0;  // the receiver's place: for whoever carries it, not on the wire
-    Run run;                      // the sender's; of `gone`: the receiver's
+    std::uint64_t fleet = 0;  // messages of another cluster are dropped
+    MemberId from = kNoMember, to = kNoMember;
+    std::uint32_t number = 0;     // the sender's member number
+    std::uint32_t to_number = 0;  // the receiver's member number, for the transport; not on the wire
+    Run run;                      // the sender's; in `gone`: the receiver's
     Term term = 0;
     Index index = 0, commit = 0, last = 0;
     Term log_term = 0;
@@ -93,15 +95,15 @@
     std::shared_ptr<const SnapshotPiece> piece;
 };
 
-// What a keeper's folder holds.
+// A member's persistent state, as read from its data folder.
 struct Stored {
     std::uint64_t fleet = 0;
-    MemberId id = kNobody;
+    MemberId id = kNoMember;
     std::uint64_t starts = 0;
     Term term = 0;
-    MemberId voted = kNobody;
+    MemberId voted = kNoMember;
     Snapshot snapshot;
-    std::vector<Entry> entries;  // from snapshot.index + 1 on
+    std::vector<Entry> entries;  // starting at snapshot.index + 1
 };
 
 }  // namespace cobaltshift::raft
--- a/src/store/fields.hpp
+++ b/src/store/fields.hpp
@@ -1,5 +1,6 @@
-// Reading protozero's fields with each held against its type and bound first: protozero itself only asserts.
-// A reader throws Unreadable; whoever decodes turns that into "none".
+// Bounds-checked reading of protocol buffers fields. protozero itself only asserts the type of a field;
+// Fields checks the type and the limit of each value first and throws Unreadable, which decoders turn into
+// "none".
 #pragma once
 
 #include <cstdint>
@@ -15,6 +16,8 @@
     using std::runtime_error::runtime_error;
 };
 
+// Iterates over the fields of one encoded message. `most` and `least` are inclusive limits: of the value for
+// number() and real(), of the size in bytes for bytes() and text(). `field` names the field in errors.
 class Fields {
 public:
     explicit Fields(std::string_view bytes) : reader_(bytes.data(), bytes.size()) {}
@@ -47,7 +50,7 @@
         return {view.data(), view.size()};
     }
     std::string text(const char* field, std::size_t most) { return std::string(bytes(field, most)); }
-    void skip() {  // of a newer format
+    void skip() {  // a field of a newer format
         guarded("an unknown field", [&] { return reader_.skip(), 0; });
     }
 
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-enum class Kind : std::uint8_t { life = 1, starts, vote, entry, snapshot };
-constexpr std::size_t kHead = 5 + kSealBytes;  // kind, length in four bytes, their seal
+enum class Kind : std::uint8_t { identity = 1, starts, vote, entry, snapshot };
+constexpr std::size_t kHeaderBytes = 5 + kChecksumBytes;  // kind, length in four bytes, and their checksum
 
-std::string record(Kind kind, const std::string& body) {
+std::string make_record(Kind kind, const std::string& body) {
     std::string head(1, static_cast<char>(kind));
     for (int i = 0; i < 4; ++i) head.push_back(static_cast<char>(body.size() >> 8 * i));
     return sealed(std::move(head)) + sealed(body);
 }
 
-std::string pair_of(std::uint64_t first, std::uint64_t second) {
+std::string encode_pair(std::uint64_t first, std::uint64_t second) {
     std::string bytes;
     protozero::pbf_writer w(bytes);
     w.add_uint64(1, first);
@@ -29,7 +29,7 @@
     std::uint64_t first = 0, second = 0;
     std::string_view rest;
 };
-Pair pair_from(std::string_view bytes, std::size_t most) {
+Pair decode_pair(std::string_view bytes, std::size_t most) {
     Pair pair;
     Fields f(bytes);
     while (f.next()) switch (f.tag()) {
@@ -53,32 +53,32 @@
     protozero::pbf_writer w(bytes);
     w.add_uint64(1, index);
     w.add_bytes(3, raft::encode(entry));
-    return record(Kind::entry, bytes);
+    return make_record(Kind::entry, bytes);
 }
 
 }  // namespace
 
 std::string records_of(const raft::Ready& ready) {
     std::string bytes;
-    if (ready.vote) bytes += record(Kind::vote, pair_of(ready.vote->term, ready.vote->voted));
+    if (ready.vote) bytes += make_record(Kind::vote, encode_pair(ready.vote->term, ready.vote->voted));
     if (ready.from > 0) {
         raft::Index index = ready.from;
         for (const raft::Entry& entry : ready.entries) bytes += entry_record(index++, entry);
-        if (ready.entries.empty()) {  // the tail goes and nothing follows
+        if (ready.entries.empty()) {  // truncation only: an entry record without an entry
             std::string cut;
             protozero::pbf_writer w(cut);
             w.add_uint64(1, ready.from);
-            bytes += record(Kind::entry, cut);
+            bytes += make_record(Kind::entry, cut);
         }
     }
     return bytes;
 }
 
 std::string records_of(const raft::Stored& stored) {
-    std::string bytes = record(Kind::life, pair_of(stored.fleet, stored.id)) +
-                        record(Kind::starts, pair_of(stored.starts, 0)) +
-                        record(Kind::vote, pair_of(stored.term, stored.voted)) +
-                        record(Kind::snapshot, raft::encode(stored.snapshot));
+    std::string bytes = make_record(Kind::identity, encode_pair(stored.fleet, stored.id)) +
+                        make_record(Kind::starts, encode_pair(stored.starts, 0)) +
+                        make_record(Kind::vote, encode_pair(stored.term, stored.voted)) +
+                        make_record(Kind::snapshot, raft::encode(stored.snapshot));
     raft::Index index = stored.snapshot.index + 1;
     for (const raft::Entry& entry : stored.entries) bytes += entry_record(index++, entry);
     return bytes;
@@ -89,67 +89,67 @@
     raft::Stored& s = result.stored;
     if (bytes.empty()) return result;
     result.found = Replayed::Found::whole;
-    bool life = false;
-    const auto spoilt = [&](const std::string& why) {
+    bool has_member_id = false;
+    const auto corrupt = [&](const std::string& why) {
         result.found = Replayed::Found::spoilt;
         result.why = "at byte " + std::to_string(result.good) + ": " + why;
         return result;
     };
     while (result.good < bytes.size()) {
         const std::string_view left = bytes.substr(result.good);
-        if (left.size() < kHead) break;
-        const auto head = unsealed(left.substr(0, kHead));
-        if (!head) return spoilt("a record's head is not as it was written");
+        if (left.size() < kHeaderBytes) break;
+        const auto head = unsealed(left.substr(0, kHeaderBytes));
+        if (!head) return corrupt("checksum mismatch in a record header");
         std::size_t length = 0;
         for (int i = 0; i < 4; ++i)
             length |= static_cast<std::size_t>(static_cast<unsigned char>((*head)[1 + i])) << 8 * i;
-        if (left.size() < kHead + length + kSealBytes) break;
-        const auto body = unsealed(left.substr(kHead, length + kSealBytes));
-        if (!body) return spoilt("a record is not as it was written");
+        if (left.size() < kHeaderBytes + length + kChecksumBytes) break;
+        const auto body = unsealed(left.substr(kHeaderBytes, length + kChecksumBytes));
+        if (!body) return corrupt("checksum mismatch in a record");
         try {
             switch (static_cast<Kind>((*head)[0])) {
-                case Kind::life: {
-                    const Pair pair = pair_from(*body, 0);
-                    s.fleet = pair.first, s.id = pair.second, life = true;
+                case Kind::identity: {
+                    const Pair pair = decode_pair(*body, 0);
+                    s.fleet = pair.first, s.id = pair.second, has_member_id = true;
                     break;
                 }
                 case Kind::starts:
-                    s.starts = pair_from(*body, 0).first;
+                    s.starts = decode_pair(*body, 0).first;
                     break;
                 case Kind::vote: {
-                    const Pair pair = pair_from(*body, 0);
+                    const Pair pair = decode_pair(*body, 0);
                     s.term = pair.first, s.voted = pair.second;
                     break;
                 }
                 case Kind::entry: {
-                    const Pair pair = pair_from(*body, raft::kMaxEntryBytes + 64);
+                    const Pair pair = decode_pair(*body, raft::kMaxEntryBytes + 64);
                     const raft::Index first = s.snapshot.index + 1;
                     if (pair.first < first || pair.first > first + s.entries.size())
-                        return spoilt("an entry does not follow those before it");
+                        return corrupt("gap in the sequence of entries");
                     s.entries.resize(pair.first - first);
                     if (pair.rest.empty()) break;
                     const auto entry = raft::decode_entry(pair.rest);
-                    if (!entry) return spoilt("an entry can't be read");
+                    if (!entry) return corrupt("an entry can't be decoded");
                     s.entries.push_back(*entry);
                     break;
                 }
                 case Kind::snapshot: {
                     auto snapshot = raft::decode_snapshot(*body);
-                    if (!snapshot) return spoilt("a snapshot can't be read");
+                    if (!snapshot) return corrupt("a snapshot can't be decoded");
                     s.snapshot = std::move(*snapshot);
                     s.entries.clear();
                     break;
                 }
                 default:
-                    return spoilt("a record is of a newer format");
+                    return corrupt("a record has an unknown type");
             }
         } catch (const Unreadable& fault) {
-            return spoilt(fault.what());
+            return corrupt(fault.what());
         }
-        result.good += kHead + length + kSealBytes;
+        result.good += kHeaderBytes + length + kChecksumBytes;
     }
     if (result.good < bytes.size()) result.found = Replayed::Found::torn;
-    if (!life) {  // cut short before anything was promised
+    if (!has_member_id) {  // torn before the member id was synced, so nothing can have been acknowledged
         result.found = Replayed::Found::nothing;
         result.good = 0;
     }
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -1,7 +1,7 @@
-// A keeper's folder as one file of records, for whoever has nothing better than files: the world's disk.
-// Records are appended and synced; with a snapshot the file is written anew and moved over the old one. Each
-// record has a head with a checksum of its own, so that a tail cut short at a crash (what was never promised)
-// is told from what has gone bad (a spoilt folder must not vote). Free of I/O.
+// Encoding of a Raft member's persistent state as a log file, used by the simulator's disks. Records are
+// appended and synced; a snapshot is written as a new file that replaces the old one. The header of each
+// record has a checksum of its own, which distinguishes a torn tail after a crash (never acknowledged, can be
+// cut off) from corruption (the member must not vote with this state). Free of I/O.
 #pragma once
 
 #include <string>
@@ -11,17 +11,22 @@
 
 namespace cobaltshift::store {
 
-// Of all that is to be kept by `ready`, which has no snapshot: to be appended.
+// The records to append for what `ready` asks to persist. `ready` must not have a snapshot.
 std::string records_of(const raft::Ready& ready);
-// The file that leads to `stored` alone.
+// A complete file that replays to `stored`.
 std::string records_of(const raft::Stored& stored);
 
 struct Replayed {
-    enum class Found { nothing, whole, torn, spoilt };
+    enum class Found {
+        nothing,  // empty, or torn before the member id was written
+        whole,    // intact
+        torn,     // intact up to `good`, followed by an incomplete record
+        spoilt,   // corrupt; `stored` must not be used
+    };
     Found found = Found::nothing;
     raft::Stored stored;
-    std::size_t good = 0;  // bytes up to the last whole record; behind it a torn tail
-    std::string why;       // where spoilt
+    std::size_t good = 0;  // size in bytes of the intact records at the start of the file
+    std::string why;       // if spoilt: the reason
 };
 Replayed replay(std::string_view bytes);
 
--- a/src/store/sealed.hpp
+++ b/src/store/sealed.hpp
@@ -1,4 +1,4 @@
-// Bytes with their checksum behind them: XXH3 of 64 bits, little-endian. For whatever is kept or sent whole.
+// Byte strings followed by a checksum: 64-bit XXH3, little-endian. Used for stored records and messages.
 #pragma once
 
 #include <xxhash.h>
@@ -10,23 +10,24 @@
 
 namespace cobaltshift::store {
 
-constexpr std::size_t kSealBytes = 8;
+constexpr std::size_t kChecksumBytes = 8;
 
-inline std::string seal_of(std::string_view bytes) {
+inline std::string checksum_of(std::string_view bytes) {
     const std::uint64_t sum = XXH3_64bits(bytes.data(), bytes.size());
-    std::string seal;
-    for (std::size_t i = 0; i < kSealBytes; ++i) seal.push_back(static_cast<char>(sum >> 8 * i));
-    return seal;
+    std::string checksum;
+    for (std::size_t i = 0; i < kChecksumBytes; ++i) checksum.push_back(static_cast<char>(sum >> 8 * i));
+    return checksum;
 }
+// Appends the checksum.
 inline std::string sealed(std::string bytes) {
-    const std::string seal = seal_of(bytes);
-    return std::move(bytes += seal);
+    const std::string checksum = checksum_of(bytes);
+    return std::move(bytes += checksum);
 }
-// What was sealed; none: it is not as it was.
+// The bytes without their checksum. None if they are too short or the checksum does not match.
 inline std::optional<std::string_view> unsealed(std::string_view bytes) {
-    if (bytes.size() < kSealBytes) return {};
-    const std::string_view body = bytes.substr(0, bytes.size() - kSealBytes);
-    if (seal_of(body) != bytes.substr(body.size())) return {};
+    if (bytes.size() < kChecksumBytes) return {};
+    const std::string_view body = bytes.substr(0, bytes.size() - kChecksumBytes);
+    if (checksum_of(body) != bytes.substr(body.size())) return {};
     return body;
 }
 
--- a/src/store_io/folder.hpp
+++ b/src/store_io/folder.hpp
@@ -1,11 +1,13 @@
-// A keeper's folder on a real disk: one SQLite database (WAL, synchronous=FULL), held by one process at a
-// time. What raft::Ready asks to be kept is one transaction; once keep() has returned it is synced. Every
-// row is sealed together with its place, so that a row gone bad or moved is told from one that was written
-// so: a spoilt folder never votes. Entry type: Folder. Called by lease::KeeperNode alone.
+// Persistent storage of a Raft member's state in one SQLite database (WAL, synchronous=FULL), which one
+// process at a time can open. Main type: Folder, used by lease::KeeperNode. Not thread-safe. Everything that
+// a raft::Ready asks to persist is one transaction, which is synced when keep() returns. Each row has a
+// checksum over its contents and its key, so that damaged and misplaced rows are detected: a member must not
+// vote with a damaged state.
 //
-// What it can't see by itself: SQLite ends its log at the first frame that does not match its checksum, so
-// rot in the log's tail looks like a tail never written, and a folder restored from a copy looks whole. The
-// other keepers remember what this one has acknowledged, and tell it to go (docs/design/agree.md).
+// Two faults can't be detected here. SQLite ends its write-ahead log at the first frame with a wrong
+// checksum, so a damaged tail of the log looks as if it had never been written. A folder restored from a
+// backup looks intact. In both cases the other members remember what this one has acknowledged, and tell it
+// that it is no longer a member (docs/design/agree.md).
 #pragma once
 
 #include <memory>
@@ -18,41 +20,44 @@
 
 namespace cobaltshift::store {
 
-// The folder can't be used: not there, not ours to write, held by another process, full, or its disk refuses.
+// The folder can't be used: it does not exist, is not writable, is in use by another process, is full, has a
+// newer format, or its disk has failed.
 struct FolderError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// No room left: nothing has changed, and the folder may be opened and used again.
+// No space left on the device. Nothing has changed, and the folder may be opened and used again.
 struct FolderFull : FolderError {
     using FolderError::FolderError;
 };
 
 class Folder {
 public:
+    // State of the folder when it was opened: new, intact, or damaged.
     enum class Found { nothing, whole, spoilt };
 
-    // Opens the database in `path`, which must be there, and reads it whole. Throws FolderError.
+    // Opens or creates the database in the existing folder `path` and reads all of it. Throws FolderError.
     explicit Folder(std::string path);
     ~Folder();
     Folder(const Folder&) = delete;
     Folder& operator=(const Folder&) = delete;
 
     Found found() const { return found_; }
-    const std::string& why() const { return why_; }  // where spoilt
-    // Of a whole folder: what it holds. Moved from once.
+    const std::string& why() const { return why_; }  // if spoilt: the reason
+    // Moves out the state of an intact folder.
     raft::Stored take_stored() { return std::move(stored_); }
 
-    // A new life: all that was there is set aside (the last such, as `former.db`), then `stored` is kept.
+    // Starts over with `stored`. An existing database is renamed to `former.db`, replacing an earlier one.
     void begin(const raft::Stored& stored);
-    // Another run of the life that is kept; synced before anything is said under it. Its number.
+    // Increments the start counter of the stored member, synced, and returns it. Must be called before any
+    // message is sent.
     std::uint64_t start();
-    // All of `ready` that is to be kept, in one transaction, synced. Throws FolderError: nothing of it
-    // counts.
+    // Persists what `ready` asks for in one transaction, synced. If it throws FolderError, none of it was
+    // applied.
     void keep(const raft::Ready& ready);
 
     const std::string& path() const { return path_; }
-    std::uint64_t transactions() const { return transactions_; }  // each one sync of the log
+    std::uint64_t transactions() const { return transactions_; }  // committed so far, with one sync each
 
 private:
     struct Close {
@@ -63,7 +68,7 @@
     void set_aside();
     [[noreturn]] void fail(const std::string& what) const;
     void run(const char* sql);
-    void put(const char* sql, std::uint64_t place, const std::string& bytes);
+    void put(const char* sql, std::uint64_t key, const std::string& bytes);
 
     std::string path_;
     std::unique_ptr<sqlite3, Close> db_;
--- a/tests/mesh/control_io_test.cpp
+++ b/tests/mesh/control_io_test.cpp
@@ -1,4 +1,5 @@
-// Hubs on real sockets and folders (loopback addresses): the store, the distributor, and the whole of a hub.
+// Control nodes with real sockets (loopback addresses) and files: the store, the configuration distributor,
+// and complete control nodes.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -16,16 +17,16 @@
 
 namespace {
 
-constexpr std::uint64_t kFleet = 5;
+constexpr std::uint64_t kClusterId = 5;
 
-struct Folder {
-    Folder()
+struct TempFolder {
+    TempFolder()
         : path(fs::temp_directory_path() /
                ("control-" + std::to_string(::getpid()) + "-" + std::to_string(++count))) {
         fs::remove_all(path);
     }
-    ~Folder() { fs::remove_all(path); }
-    std::string hub() const { return path / "hub"; }
+    ~TempFolder() { fs::remove_all(path); }
+    std::string store_path() const { return path / "hub"; }
     static inline int count = 0;
     const fs::path path;
 };
@@ -33,7 +34,7 @@
 raft::Entry entry(raft::Term term, const std::string& data) { return {term, raft::Entry::Kind::data, data}; }
 
 raft::Stored three_entries() {
-    raft::Stored stored = bootstrap(kFleet, 1, {1, 2, 3});
+    raft::Stored stored = bootstrap(kClusterId, 1, {1, 2, 3});
     stored.term = 4;
     stored.entries = {entry(1, "a"), entry(3, std::string(5000, 'b')), entry(4, "c")};
     return stored;
@@ -65,7 +66,7 @@
     return what();
 }
 
-// Files can't grow any more while it lives: the disk refuses.
+// While it exists, no file can grow (RLIMIT_FSIZE of 0), so that writes fail.
 struct FullDisk {
     FullDisk() {
         ::signal(SIGXFSZ, SIG_IGN);
@@ -79,34 +80,34 @@
 
 std::uint32_t ip_of(const std::string& ip) { return asio::ip::make_address_v4(ip).to_uint(); }
 
-// Ports that no other test on this machine uses at the same time, most likely.
+// First of a range of ports derived from the process id, so that concurrent tests are unlikely to collide.
 std::uint16_t base_port() { return static_cast<std::uint16_t>(10000 + ::getpid() % 1400 * 16); }
 
-struct Hubs {
-    struct Hub {
+struct Cluster {
+    struct Node {
         boot::Boot boot;
         std::unique_ptr<config::ConfigDistributor> distributor;
-        std::unique_ptr<ControlNode> box;
+        std::unique_ptr<ControlNode> control_node;
     };
     static std::string ip(int n) { return "127.0.7." + std::to_string(n); }
     void start(int n, bool first) {
-        Hub& hub = hubs[n];
-        hub.boot.ip = ip(n);
-        hub.boot.first_port = base_port();
-        hub.boot.last_port = static_cast<std::uint16_t>(base_port() + 15);
-        hub.boot.first_boot = first;
-        hub.boot.data_dir = (folder.path / std::to_string(n)).string();
-        hub.boot.control = tcp::endpoint(asio::ip::make_address_v4(ip(n)), 8620);
-        hub.boot.seeds.clear();
+        Node& node = nodes[n];
+        node.boot.ip = ip(n);
+        node.boot.first_port = base_port();
+        node.boot.last_port = static_cast<std::uint16_t>(base_port() + 15);
+        node.boot.first_boot = first;
+        node.boot.data_dir = (folder.path / std::to_string(n)).string();
+        node.boot.control = tcp::endpoint(asio::ip::make_address_v4(ip(n)), 8620);
+        node.boot.seeds.clear();
         for (int seed = 1; seed <= 3; ++seed)
-            hub.boot.seeds.emplace_back(asio::ip::make_address_v4(ip(seed)), 8620);
-        hub.distributor = std::make_unique<config::ConfigDistributor>(
+            node.boot.seeds.emplace_back(asio::ip::make_address_v4(ip(seed)), 8620);
+        node.distributor = std::make_unique<config::ConfigDistributor>(
             io, ip(n), static_cast<std::uint16_t>(base_port() + 1));
-        hub.box = std::make_unique<ControlNode>(io, hub.boot, *hub.distributor);
+        node.control_node = std::make_unique<ControlNode>(io, node.boot, *node.distributor);
     }
     int leader() const {
-        for (const auto& [n, hub] : hubs)
-            if (hub.box->leads()) return n;
+        for (const auto& [n, node] : nodes)
+            if (node.control_node->leads()) return n;
         return 0;
     }
     ApiAnswer call(int n, const std::string& method, const std::string& if_match = "",
@@ -117,38 +118,38 @@
         request.target = "/api/config";
         request.if_match = if_match;
         request.body = body;
-        REQUIRE(
-            hubs.at(n).box->config().handle(request, [&](ApiAnswer given) { answer = std::move(given); }));
+        REQUIRE(nodes.at(n).control_node->config().handle(
+            request, [&](ApiAnswer given) { answer = std::move(given); }));
         REQUIRE(run_until(
             io, [&] { return answer.has_value(); }, std::chrono::milliseconds(1500)));
         return *answer;
     }
-    Folder folder;
+    TempFolder folder;
     asio::io_context io;
-    std::map<int, Hub> hubs;
+    std::map<int, Node> nodes;
 };
 
 }  // namespace
 
-TEST_CASE("store: what was kept is there again, and nothing that was replaced") {
-    const Folder folder;
+TEST_CASE("store: reopening finds what was persisted and nothing that was replaced") {
+    const TempFolder folder;
     {
-        Store store(folder.hub(), kFleet);
-        CHECK_FALSE(store.take());
+        Store store(folder.store_path(), kClusterId);
+        CHECK_FALSE(store.take_stored());
         store.begin(three_entries());
-        store.starts(7);
+        store.record_start(7);
         raft::Ready ready;
         ready.vote.emplace();
         ready.vote->term = 5;
         ready.vote->voted = 2;
         ready.from = 2;
         ready.entries = {entry(5, "x")};
-        store.keep(ready);
+        store.persist(ready);
     }
     {
-        Store store(folder.hub(), kFleet);
+        Store store(folder.store_path(), kClusterId);
         CHECK(store.why().empty());
-        const auto stored = store.take();
+        const auto stored = store.take_stored();
         REQUIRE(stored);
         CHECK(stored->id == 2);
         CHECK(stored->starts == 7);
@@ -161,25 +162,25 @@
         ready.snapshot->index = 2;
         ready.snapshot->term = 5;
         ready.snapshot->data = std::string(300000, 'd');
-        store.keep(ready);
+        store.persist(ready);
         ready = {};
         ready.from = 3;
         ready.entries = {entry(5, "after")};
-        store.keep(ready);
+        store.persist(ready);
     }
-    Store store(folder.hub(), kFleet);
-    const auto stored = store.take();
+    Store store(folder.store_path(), kClusterId);
+    const auto stored = store.take_stored();
     REQUIRE(stored);
     CHECK(stored->snapshot.index == 2);
     CHECK(stored->snapshot.data.size() == 300000);
     CHECK(stored->entries == std::vector<raft::Entry>{entry(5, "after")});
 }
 
-TEST_CASE("store: the folder stays small however much goes through it") {
-    const Folder folder;
-    std::optional<Store> store;  // gone before the files are counted: its own thread removes some
-    store.emplace(folder.hub(), kFleet);
-    store->begin(bootstrap(kFleet, 1, {1}));
+TEST_CASE("store: the size of the folder stays bounded") {
+    const TempFolder folder;
+    std::optional<Store> store;  // closed before the files are counted: LevelDB's thread removes some
+    store.emplace(folder.store_path(), kClusterId);
+    store->begin(bootstrap(kClusterId, 1, {1}));
     raft::Index index = 0;
     for (int round = 0; round < 60; ++round) {
         raft::Ready ready;
@@ -188,207 +189,212 @@
         ++index;
         ready.vote.emplace();
         ready.vote->term = 1;
-        store->keep(ready);
+        store->persist(ready);
         ready = {};
         ready.snapshot.emplace();
         ready.snapshot->index = index;
         ready.snapshot->term = 1;
         ready.snapshot->data = std::string(200000, 's');
-        store->keep(ready);
+        store->persist(ready);
     }
     store.reset();
     std::uintmax_t bytes = 0;
     for (const auto& file : fs::recursive_directory_iterator(folder.path))
         if (file.is_regular_file()) bytes += file.file_size();
-    CHECK(bytes < 12 * 1024 * 1024);  // 24 MB went through
+    CHECK(bytes < 12 * 1024 * 1024);  // 24 MB were written
 }
 
-TEST_CASE("store: what is rotten is set aside, and said") {
+TEST_CASE("store: a damaged folder is set aside, and the reason is reported") {
     for (const char* suffix : {".log", ".ldb", "CURRENT"}) {
         CAPTURE(suffix);
-        const Folder folder;
-        { Store(folder.hub(), kFleet).begin(three_entries()); }
-        if (std::string(suffix) == ".ldb") Store(folder.hub(), kFleet);  // moves what it holds into a table
-        bool bent = false;
-        for (const auto& file : fs::directory_iterator(folder.hub())) {
+        const TempFolder folder;
+        { Store(folder.store_path(), kClusterId).begin(three_entries()); }
+        // Opening the store again moves the contents of the log into a table.
+        if (std::string(suffix) == ".ldb") Store(folder.store_path(), kClusterId);
+        bool damaged = false;
+        for (const auto& file : fs::directory_iterator(folder.store_path())) {
             if (!file.path().string().ends_with(suffix) || file.file_size() == 0) continue;
             std::fstream bytes(file.path(), std::ios::in | std::ios::out | std::ios::binary);
             for (std::uintmax_t at = 0; at < file.file_size(); at += 7) {
                 bytes.seekp(static_cast<std::streamoff>(at));
                 bytes.put('~');
             }
-            bent = true;
+            damaged = true;
         }
-        REQUIRE(bent);
-        Store store(folder.hub(), kFleet);
-        const auto stored = store.take();
-        // A log that is rotten from its first byte looks like one that was never synced: as if empty.
+        REQUIRE(damaged);
+        Store store(folder.store_path(), kClusterId);
+        const auto stored = store.take_stored();
+        // A log that is damaged from its first byte on looks like one that was never synced, that is, empty.
         CHECK_FALSE(stored);
         if (std::string(suffix) != ".log") CHECK_FALSE(store.why().empty());
-        if (!store.why().empty()) CHECK(fs::exists(folder.hub() + ".aside"));
+        if (!store.why().empty()) CHECK(fs::exists(folder.store_path() + ".aside"));
         store.begin(three_entries());
     }
 }
 
-TEST_CASE("store: a torn end of the log is cut off, what was synced before it is kept") {
-    const Folder folder;
+TEST_CASE("store: a torn record at the end of the log is dropped, and synced records are read") {
+    const TempFolder folder;
     {
-        Store store(folder.hub(), kFleet);
+        Store store(folder.store_path(), kClusterId);
         store.begin(three_entries());
     }
-    for (const auto& file : fs::directory_iterator(folder.hub()))
+    for (const auto& file : fs::directory_iterator(folder.store_path()))
         if (file.path().extension() == ".log") {
             std::ofstream bytes(file.path(), std::ios::app | std::ios::binary);
-            bytes << std::string("BBBB\x0a\0\x01", 7) +
-                         std::string(100, 'B');  // a record's head, and no sum that fits
+            // A record header with a checksum that does not match.
+            bytes << std::string("BBBB\x0a\0\x01", 7) + std::string(100, 'B');
         }
-    Store store(folder.hub(), kFleet);
-    const auto stored = store.take();
+    Store store(folder.store_path(), kClusterId);
+    const auto stored = store.take_stored();
     REQUIRE(stored);
     CHECK(stored->entries.size() == 3);
 }
 
-TEST_CASE("store: a folder of another fleet is refused and left alone") {
-    const Folder folder;
-    { Store(folder.hub(), kFleet).begin(three_entries()); }
-    CHECK_THROWS_AS(Store(folder.hub(), kFleet + 1), StoreForeign);
-    Store store(folder.hub(), kFleet);
-    CHECK(store.take());
+TEST_CASE("store: a folder of another cluster is refused and left untouched") {
+    const TempFolder folder;
+    { Store(folder.store_path(), kClusterId).begin(three_entries()); }
+    CHECK_THROWS_AS(Store(folder.store_path(), kClusterId + 1), StoreMismatch);
+    Store store(folder.store_path(), kClusterId);
+    CHECK(store.take_stored());
 }
 
-TEST_CASE("store: a folder that can't be made is refused") {
-    const Folder folder;
+TEST_CASE("store: opening fails if the folder can't be created") {
+    const TempFolder folder;
     fs::create_directories(folder.path);
     std::ofstream(folder.path / "file") << "x";
-    CHECK_THROWS_AS(Store((folder.path / "file" / "hub").string(), kFleet), StoreRefuses);
+    CHECK_THROWS_AS(Store((folder.path / "file" / "hub").string(), kClusterId), StoreFailure);
 }
 
-TEST_CASE("store: a write that is refused says so, and what was there before is there again") {
-    const Folder folder;
+TEST_CASE("store: a failed write throws, and earlier contents are found on reopening") {
+    const TempFolder folder;
     {
-        Store store(folder.hub(), kFleet);
+        Store store(folder.store_path(), kClusterId);
         store.begin(three_entries());
         raft::Ready ready;
         ready.from = 4;
         ready.entries = {entry(4, "refused")};
         {
             const FullDisk full;
-            CHECK_THROWS_AS(store.keep(ready), StoreRefuses);
+            CHECK_THROWS_AS(store.persist(ready), StoreFailure);
         }
-        CHECK_THROWS_AS(store.keep(ready),
-                        StoreRefuses);  // nothing more in this run, though there is room again
+        // The store stays unusable until it is reopened, although there is space again.
+        CHECK_THROWS_AS(store.persist(ready), StoreFailure);
     }
     {
         const FullDisk full;
-        CHECK_THROWS_AS(Store(folder.hub(), kFleet), StoreRefuses);
+        CHECK_THROWS_AS(Store(folder.store_path(), kClusterId), StoreFailure);
     }
-    Store store(folder.hub(), kFleet);
+    Store store(folder.store_path(), kClusterId);
     CHECK(store.why().empty());
-    const auto stored = store.take();
+    const auto stored = store.take_stored();
     REQUIRE(stored);
     CHECK(stored->entries == three_entries().entries);
 }
 
-TEST_CASE("control node io: while the disks refuse nothing is promised, and after it all is as it was") {
-    Hubs hubs;
-    for (int n = 1; n <= 3; ++n) hubs.start(n, true);
+TEST_CASE(
+    "control node io: no request succeeds while disk writes fail, and the former state returns after it") {
+    Cluster cluster;
+    for (int n = 1; n <= 3; ++n) cluster.start(n, true);
     REQUIRE(run_until(
-        hubs.io, [&] { return hubs.leader() != 0; }, std::chrono::milliseconds(4000)));
-    REQUIRE(hubs.call(hubs.leader(), "PUT", "0", text(7)).status == 200);
+        cluster.io, [&] { return cluster.leader() != 0; }, std::chrono::milliseconds(4000)));
+    REQUIRE(cluster.call(cluster.leader(), "PUT", "0", text(7)).status == 200);
     {
         const FullDisk full;
-        CHECK(hubs.call(hubs.leader(), "PUT", "r7", text(8)).status == 503);
+        CHECK(cluster.call(cluster.leader(), "PUT", "r7", text(8)).status == 503);
         run_until(
-            hubs.io, [] { return false; }, std::chrono::milliseconds(500));
+            cluster.io, [] { return false; }, std::chrono::milliseconds(500));
         for (int n = 1; n <= 3; ++n) {
-            const unsigned status = hubs.call(n, "GET").status;
+            const unsigned status = cluster.call(n, "GET").status;
             CHECK((status == 503 || status == 307));
         }
     }
     REQUIRE(run_until(
-        hubs.io, [&] { return hubs.leader() != 0; }, std::chrono::milliseconds(4000)));
-    CHECK(hubs.call(hubs.leader(), "GET").body == to_json(*table(7)));
-    CHECK(hubs.call(hubs.leader(), "PUT", "r7", text(9)).status == 200);
+        cluster.io, [&] { return cluster.leader() != 0; }, std::chrono::milliseconds(4000)));
+    CHECK(cluster.call(cluster.leader(), "GET").body == to_json(*table(7)));
+    CHECK(cluster.call(cluster.leader(), "PUT", "r7", text(9)).status == 200);
 }
 
-TEST_CASE("distributor: what one holds another fetches, whole and then as changes, and passes on") {
+TEST_CASE(
+    "distributor: a node fetches the full configuration, then only changes, and serves both to others") {
     asio::io_context io;
     const auto port = static_cast<std::uint16_t>(base_port() + 1);
-    config::ConfigDistributor hub(io, "127.0.8.1", port), proxy(io, "127.0.8.2", port),
+    config::ConfigDistributor source(io, "127.0.8.1", port), proxy(io, "127.0.8.2", port),
         other(io, "127.0.8.3", port);
-    std::vector<config::Edition> told;
+    std::vector<config::Edition> received;
     proxy.on_new = [&](auto t) {
-        told.push_back(t->edition);
+        received.push_back(t->edition);
         other.hint(ip_of("127.0.8.2"), t->edition);
     };
-    hub.hold(table(3, 200));
+    source.hold(table(3, 200));
     proxy.hint(ip_of("127.0.8.1"), 3);
     REQUIRE(run_until(
         io, [&] { return other.edition() == 3; }, std::chrono::milliseconds(1000)));
-    CHECK(to_json(*other.held()) == to_json(*hub.held()));
+    CHECK(to_json(*other.held()) == to_json(*source.held()));
     const auto whole = proxy.counts().fetched_bytes;
-    hub.hold(config::patch(*hub.held(), R"({"edition":"r5","remove":{"routes":["r7"]}})").configuration);
-    hub.hold(config::patch(*hub.held(), R"({"edition":"r6","remove":{"routes":["r8"]}})").configuration);
-    hub.hold(table(4));  // older: passed over
-    CHECK(hub.edition() == 6);
+    source.hold(
+        config::patch(*source.held(), R"({"edition":"r5","remove":{"routes":["r7"]}})").configuration);
+    source.hold(
+        config::patch(*source.held(), R"({"edition":"r6","remove":{"routes":["r8"]}})").configuration);
+    source.hold(table(4));  // older: ignored
+    CHECK(source.edition() == 6);
     proxy.hint(ip_of("127.0.8.1"), 6);
     REQUIRE(run_until(
         io, [&] { return other.edition() == 6; }, std::chrono::milliseconds(1000)));
-    CHECK(to_json(*other.held()) == to_json(*hub.held()));
+    CHECK(to_json(*other.held()) == to_json(*source.held()));
     CHECK(proxy.counts().fetched_bytes < whole + 1000);
-    CHECK(told.back() == 6);
+    CHECK(received.back() == 6);
 }
 
-TEST_CASE("distributor: a source that says nothing, or what makes no sense, is left for another") {
+TEST_CASE("distributor: silent, unreachable and invalid sources are abandoned for another one") {
     asio::io_context io;
     const auto port = static_cast<std::uint16_t>(base_port() + 1);
-    config::ConfigDistributor hub(io, "127.0.8.1", port), proxy(io, "127.0.8.2", port);
+    config::ConfigDistributor source(io, "127.0.8.1", port), proxy(io, "127.0.8.2", port);
     tcp::acceptor silent(io, {asio::ip::make_address_v4("127.0.8.4"), port});
     std::vector<tcp::socket> held;
     silent.async_accept([&](error_code, tcp::socket socket) { held.push_back(std::move(socket)); });
-    tcp::acceptor mad(io, {asio::ip::make_address_v4("127.0.8.5"), port});
+    tcp::acceptor invalid_source(io, {asio::ip::make_address_v4("127.0.8.5"), port});
     const std::string rubbish(100, 'x');
     tcp::socket peer(io);
-    mad.async_accept(peer, [&](error_code) {
+    invalid_source.async_accept(peer, [&](error_code) {
         asio::async_write(peer, asio::buffer(rubbish), [](error_code, std::size_t) {});
     });
-    hub.hold(table(3));
+    source.hold(table(3));
     proxy.hint(ip_of("127.0.8.4"), 9);
     proxy.hint(ip_of("127.0.8.5"), 8);
-    proxy.hint(ip_of("127.0.8.6"), 8);  // nobody is there
+    proxy.hint(ip_of("127.0.8.6"), 8);  // nothing listens there
     proxy.hint(ip_of("127.0.8.1"), 3);
-    // Two of them may be asked side by side: the silent one can fail after the good one has answered.
+    // Two sources may be asked at the same time, so the silent one can fail after the good one has answered.
     REQUIRE(run_until(
         io, [&] { return proxy.edition() == 3 && proxy.counts().failed >= 3; },
         std::chrono::milliseconds(1500)));
 }
 
 TEST_SUITE("incident late: configuration") {
-    // As on a day of planned work: a third of the nodes are being restarted, and each was heard of a moment
-    // before.
-    TEST_CASE("distributor: many sources that say nothing don't hold up the control node that answers") {
+    // Guards against a late configuration during a rolling restart: many nodes that were announced shortly
+    // before have stopped, and a node that asks them one after another reaches the control node too late.
+    TEST_CASE("distributor: many silent sources do not delay the answer of the control node") {
         constexpr int kSilent = 20, kFirst = 20;
         asio::io_context io;
         const auto port = static_cast<std::uint16_t>(base_port() + 1);
-        config::ConfigDistributor hub(io, "127.0.8.200", port), proxy(io, "127.0.8.2", port);
-        std::vector<tcp::acceptor> silent;  // the kernel takes the connection, nobody reads
+        config::ConfigDistributor source(io, "127.0.8.200", port), proxy(io, "127.0.8.2", port);
+        std::vector<tcp::acceptor> silent;  // the kernel accepts the connections, nothing reads from them
         for (int i = 0; i < kSilent; ++i) {
             const std::string ip = "127.0.8." + std::to_string(kFirst + i);
             silent.emplace_back(io, tcp::endpoint(asio::ip::make_address_v4(ip), port));
             proxy.hint(ip_of(ip), 9);
         }
-        hub.hold(table(9));
+        source.hold(table(9));
         proxy.control_nodes = [] { return std::vector<std::uint32_t>{ip_of("127.0.8.200")}; };
         CHECK(run_until(
             io, [&] { return proxy.edition() == 9; }, std::chrono::milliseconds(1500)));
     }
 }
 
-TEST_CASE("distributor: bytes that are no request end the connection") {
+TEST_CASE("distributor: an invalid request closes the connection") {
     asio::io_context io;
     const auto port = static_cast<std::uint16_t>(base_port() + 1);
-    config::ConfigDistributor hub(io, "127.0.8.1", port);
-    hub.hold(table(3));
+    config::ConfigDistributor source(io, "127.0.8.1", port);
+    source.hold(table(3));
     tcp::socket socket(io);
     socket.connect({asio::ip::make_address_v4("127.0.8.1"), port});
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1")));
@@ -399,58 +405,63 @@
     CHECK(run_until(
         io, [&] { return ended; }, std::chrono::milliseconds(1000)));
     CHECK(got == 0);
-    CHECK(hub.counts().refused == 1);
+    CHECK(source.counts().refused == 1);
 }
 
-TEST_CASE("control node io: three hubs agree, lose one and its disk, and get it back") {
-    Hubs hubs;
-    for (int n = 1; n <= 3; ++n) hubs.start(n, true);
+TEST_CASE("control node io: three nodes replicate, lose one with its disk, and take it in again") {
+    Cluster cluster;
+    for (int n = 1; n <= 3; ++n) cluster.start(n, true);
     REQUIRE(run_until(
-        hubs.io, [&] { return hubs.leader() != 0; }, std::chrono::milliseconds(4000)));
-    int leader = hubs.leader();
-    CHECK(hubs.call(leader, "GET").status == 404);
-    CHECK(hubs.call(leader, "DELETE").status == 405);
-    CHECK(hubs.call(leader, "PUT", "", text(7)).status == 400);
-    CHECK(hubs.call(leader, "PUT", "0", std::string(kLongestBody + 1, 'x')).status == 413);
-    const ApiAnswer put = hubs.call(leader, "PUT", "0", text(7, 500));
+        cluster.io, [&] { return cluster.leader() != 0; }, std::chrono::milliseconds(4000)));
+    int leader = cluster.leader();
+    CHECK(cluster.call(leader, "GET").status == 404);
+    CHECK(cluster.call(leader, "DELETE").status == 405);
+    CHECK(cluster.call(leader, "PUT", "", text(7)).status == 400);
+    CHECK(cluster.call(leader, "PUT", "0", std::string(kMaxBodyBytes + 1, 'x')).status == 413);
+    const ApiAnswer put = cluster.call(leader, "PUT", "0", text(7, 500));
     CHECK(put.status == 200);
     CHECK(put.body == "{\"edition\":\"r7\"}");
-    CHECK(hubs.call(leader, "PUT", "0", text(7, 500)).status == 200);  // sent again
-    const ApiAnswer stale = hubs.call(leader, "PUT", "0", text(8));
+    CHECK(cluster.call(leader, "PUT", "0", text(7, 500)).status == 200);  // retry
+    const ApiAnswer stale = cluster.call(leader, "PUT", "0", text(8));
     CHECK(stale.status == 412);
     CHECK(stale.body == "{\"current\":\"r7\"}");
-    CHECK(hubs.call(leader, "PUT", "r7", "{").status == 400);
-    CHECK(hubs.call(leader, "GET").body == to_json(*table(7, 500)));
+    CHECK(cluster.call(leader, "PUT", "r7", "{").status == 400);
+    CHECK(cluster.call(leader, "GET").body == to_json(*table(7, 500)));
     REQUIRE(run_until(
-        hubs.io, [&] { return hubs.hubs[leader % 3 + 1].distributor->edition() == 7; },
+        cluster.io, [&] { return cluster.nodes[leader % 3 + 1].distributor->edition() == 7; },
         std::chrono::milliseconds(1000)));
-    const ApiAnswer elsewhere = hubs.call(leader % 3 + 1, "GET");
+    const ApiAnswer elsewhere = cluster.call(leader % 3 + 1, "GET");
     CHECK(elsewhere.status == 307);
-    CHECK(elsewhere.location == "http://" + Hubs::ip(leader) + ":8620/api/config");
+    CHECK(elsewhere.location == "http://" + Cluster::ip(leader) + ":8620/api/config");
 
-    hubs.hubs.erase(leader);
-    fs::remove_all(hubs.folder.path / std::to_string(leader));
+    cluster.nodes.erase(leader);
+    fs::remove_all(cluster.folder.path / std::to_string(leader));
     const int lost = leader;
     REQUIRE(run_until(
-        hubs.io, [&] { return hubs.leader() != 0; }, std::chrono::milliseconds(4000)));
-    leader = hubs.leader();
-    CHECK(hubs.call(leader, "PATCH", "r7", R"({"edition":"r9","remove":{"routes":["r1"]}})").status == 200);
-    CHECK(hubs.hubs[leader].box->status().find("\"founder\":true") != std::string::npos);
-    hubs.start(lost, false);
-    CHECK(hubs.hubs[lost].box->status().find("\"founder\":false") != std::string::npos);
+        cluster.io, [&] { return cluster.leader() != 0; }, std::chrono::milliseconds(4000)));
+    leader = cluster.leader();
+    CHECK(cluster.call(leader, "PATCH", "r7", R"({"edition":"r9","remove":{"routes":["r1"]}})").status ==
+          200);
+    CHECK(cluster.nodes[leader].control_node->status().find("\"founder\":true") != std::string::npos);
+    cluster.start(lost, false);
+    CHECK(cluster.nodes[lost].control_node->status().find("\"founder\":false") != std::string::npos);
     CHECK(run_until(
-        hubs.io, [&] { return hubs.hubs[lost].box->edition() == 9; }, std::chrono::milliseconds(4000)));
+        cluster.io, [&] { return cluster.nodes[lost].control_node->edition() == 9; },
+        std::chrono::milliseconds(4000)));
     CHECK(run_until(
-        hubs.io,
-        [&] { return hubs.hubs[lost].box->status().find("\"voter\":true,\"waiting\"") != std::string::npos; },
+        cluster.io,
+        [&] {
+            return cluster.nodes[lost].control_node->status().find("\"voter\":true,\"waiting\"") !=
+                   std::string::npos;
+        },
         std::chrono::milliseconds(1000)));
-    hubs.hubs.erase(leader == 1 || lost == 1 ? (leader == 2 || lost == 2 ? 3 : 2) : 1);
-    CHECK(hubs.call(leader, "PATCH", "r9", R"({"edition":"r10"})").status == 200);
-    hubs.hubs.erase(lost);
-    CHECK(hubs.call(leader, "PATCH", "r10", R"({"edition":"r11"})").status == 503);
+    cluster.nodes.erase(leader == 1 || lost == 1 ? (leader == 2 || lost == 2 ? 3 : 2) : 1);
+    CHECK(cluster.call(leader, "PATCH", "r9", R"({"edition":"r10"})").status == 200);
+    cluster.nodes.erase(lost);
+    CHECK(cluster.call(leader, "PATCH", "r10", R"({"edition":"r11"})").status == 503);
     bool stopped = false;
-    hubs.hubs[leader].box->stop([&] { stopped = true; });
+    cluster.nodes[leader].control_node->stop([&] { stopped = true; });
     CHECK(run_until(
-        hubs.io, [&] { return stopped; }, std::chrono::milliseconds(1000)));
-    CHECK(hubs.call(leader, "GET").status == 503);
+        cluster.io, [&] { return stopped; }, std::chrono::milliseconds(1000)));
+    CHECK(cluster.call(leader, "GET").status == 503);
 }
