--- a/src/failure_detector/failure_detector.cpp
+++ b/src/failure_detector/failure_detector.cpp
@@ -17,100 +17,103 @@
     return found == members_.end() || found->ip != ip ? nullptr : &*found;
 }
 
-void FailureDetector::suspect(Millis now, Member& member, bool own) {
-    member.own = own;
-    member.began = now;
-    member.until = now + settings_.suspicion + (own ? 0 : settings_.heard_more);
-    member.again = own ? now + settings_.again : 1e18;
+void FailureDetector::start_suspicion(Millis now, Member& member, bool own) {
+    member.own_suspicion = own;
+    member.suspected_at = now;
+    member.expires_at = now + settings_.suspicion_timeout + (own ? 0 : settings_.relayed_suspicion_extra);
+    member.next_probe_at = own ? now + settings_.suspect_probe_interval : 1e18;
 }
 
 void FailureDetector::set(Millis now, std::uint32_t ip, Standing standing) {
     Member* member = find(ip);
     if (!member) {
         member = &*members_.insert(at(ip), Member{ip, standing});
-        // Into the rest of the round, anywhere (SWIM 4.3).
+        // At a random position in the rest of the round (SWIM, section 4.3).
         const std::size_t place = cursor_ + random_.below(round_.size() - cursor_ + 1);
         round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(place), ip);
     } else if (member->standing == standing) {
         return;
     } else {
-        suspects_ -= member->standing == Standing::suspect;
-        gone_ -= member->standing == Standing::gone;
+        suspect_count_ -= member->standing == Standing::suspect;
+        gone_count_ -= member->standing == Standing::gone;
     }
-    suspects_ += standing == Standing::suspect;
-    gone_ += standing == Standing::gone;
+    suspect_count_ += standing == Standing::suspect;
+    gone_count_ += standing == Standing::gone;
     member->standing = standing;
-    if (standing == Standing::suspect) suspect(now, *member, false);
-    if (standing == Standing::gone && gone_ == 1) next_gone_ = now + settings_.gone_again * random_.unit();
-    work_out_due();
+    if (standing == Standing::suspect) start_suspicion(now, *member, false);
+    if (standing == Standing::gone && gone_count_ == 1)
+        next_gone_probe_at_ = now + settings_.gone_probe_interval * random_.unit();
+    update_due();
 }
 
 void FailureDetector::remove(std::uint32_t ip) {
     const auto member = at(ip);
     if (member == members_.end() || member->ip != ip) return;
-    suspects_ -= member->standing == Standing::suspect;
-    gone_ -= member->standing == Standing::gone;
+    suspect_count_ -= member->standing == Standing::suspect;
+    gone_count_ -= member->standing == Standing::gone;
     members_.erase(member);
     const auto place = std::find(round_.begin(), round_.end(), ip);
     if (place - round_.begin() < static_cast<std::ptrdiff_t>(cursor_)) --cursor_;
     round_.erase(place);
-    std::erase_if(running_, [&](const Running& running) { return running.ip == ip; });
-    work_out_due();
+    std::erase_if(pending_, [&](const PendingProbe& pending) { return pending.ip == ip; });
+    update_due();
 }
 
-void FailureDetector::restart(Millis now) {
+void FailureDetector::restart_suspicions(Millis now) {
     for (Member& member : members_)
-        if (member.standing == Standing::suspect) suspect(now, member, member.own);
+        if (member.standing == Standing::suspect) start_suspicion(now, member, member.own_suspicion);
 }
 
-void FailureDetector::answered(Millis now, std::uint32_t ip, Output& out) {
-    failures_ = 0;
-    if (now - answered_at_ > settings_.silence) restart(now);
-    answered_at_ = now;
-    std::erase_if(running_, [&](const Running& running) { return running.ip == ip; });
+void FailureDetector::on_answer(Millis now, std::uint32_t ip, Output& out) {
+    consecutive_failures_ = 0;
+    if (now - last_answer_at_ > settings_.isolation_threshold) restart_suspicions(now);
+    last_answer_at_ = now;
+    std::erase_if(pending_, [&](const PendingProbe& pending) { return pending.ip == ip; });
     if (Member* member = find(ip); member && member->standing == Standing::suspect) {
         set(now, ip, Standing::alive);
         out.cleared.push_back(ip);
     }
-    work_out_due();
+    update_due();
 }
 
 void FailureDetector::probe(Millis now, std::uint32_t ip, Output& out) {
-    running_.push_back({ip, ++number_, now, false});
-    out.probes.push_back({ip, number_});
+    pending_.push_back({ip, ++last_number_, now, false});
+    out.probes.push_back({ip, last_number_});
 }
 
-void FailureDetector::doubt(Millis now, std::uint32_t ip, Output& out) {
+void FailureDetector::probe_now(Millis now, std::uint32_t ip, Output& out) {
     const Member* member = find(ip);
-    if (!member || member->standing != Standing::alive || running_.size() >= settings_.at_once) return;
-    if (std::any_of(running_.begin(), running_.end(),
-                    [&](const Running& running) { return running.ip == ip; }))
+    if (!member || member->standing != Standing::alive || pending_.size() >= settings_.max_pending_probes)
+        return;
+    if (std::any_of(pending_.begin(), pending_.end(),
+                    [&](const PendingProbe& pending) { return pending.ip == ip; }))
         return;
     probe(now, ip, out);
-    work_out_due();
+    update_due();
 }
 
-void FailureDetector::ask_others(const Running& running, Output& out) {
-    out.probes.push_back({running.ip, running.number});
-    std::size_t wanted = settings_.helpers;
+void FailureDetector::probe_indirectly(const PendingProbe& pending, Output& out) {
+    out.probes.push_back({pending.ip, pending.number});
+    std::size_t wanted = settings_.indirect_probe_count;
     const std::size_t start = random_.below(members_.size());
-    // Apart from one another, so that not the same ones help for all that fail.
+    // A random stride, so that different failed members do not all get the same helpers.
     const std::size_t step = 1 + random_.below(members_.size());
-    std::vector<std::uint32_t> taken;
-    for (std::size_t i = 0, place = start; wanted && i < 4 * settings_.helpers + 8; ++i, place += step) {
+    std::vector<std::uint32_t> chosen;
+    for (std::size_t i = 0, place = start; wanted && i < 4 * settings_.indirect_probe_count + 8;
+         ++i, place += step) {
         const Member& member = members_[place % members_.size()];
-        if (member.standing != Standing::alive || member.ip == running.ip) continue;
-        if (std::find(taken.begin(), taken.end(), member.ip) != taken.end()) {
+        if (member.standing != Standing::alive || member.ip == pending.ip) continue;
+        if (std::find(chosen.begin(), chosen.end(), member.ip) != chosen.end()) {
             ++place;
             continue;
         }
-        taken.push_back(member.ip);
-        out.asks.push_back({member.ip, running.ip, running.number});
+        chosen.push_back(member.ip);
+        out.indirect_probes.push_back({member.ip, pending.ip, pending.number});
         --wanted;
     }
 }
 
-void FailureDetector::next_probe(Millis now, Output& out) {
+void FailureDetector::probe_next(Millis now, Output& out) {
     for (std::size_t tried = 0; tried <= round_.size(); ++tried) {
         if (cursor_ >= round_.size()) {
             for (std::size_t i = round_.size(); i > 1; --i)
@@ -119,98 +122,103 @@
             if (round_.empty()) return;
         }
         const std::uint32_t ip = round_[cursor_++];
-        const bool out_already = std::any_of(running_.begin(), running_.end(),
-                                             [&](const Running& running) { return running.ip == ip; });
-        if (find(ip)->standing == Standing::gone || out_already) continue;
+        const bool already_pending = std::any_of(
+            pending_.begin(), pending_.end(), [&](const PendingProbe& pending) { return pending.ip == ip; });
+        if (find(ip)->standing == Standing::gone || already_pending) continue;
         probe(now, ip, out);
         return;
     }
 }
 
-void FailureDetector::probe_gone(Output& out) {
-    std::size_t which = random_.below(gone_);
+void FailureDetector::probe_random_gone(Output& out) {
+    std::size_t which = random_.below(gone_count_);
     for (const Member& member : members_)
         if (member.standing == Standing::gone && which-- == 0) {
-            out.probes.push_back({member.ip, ++number_});
+            out.probes.push_back({member.ip, ++last_number_});
             return;
         }
 }
 
 void FailureDetector::tick(Millis now, Output& out) {
     if (now < due_) return;
-    if (now - due_ > settings_.late && due_ > 0) {
-        running_.clear();
-        restart(now);
-        failures_ = 0;
-        answered_at_ = now;
+    if (now - due_ > settings_.freeze_threshold && due_ > 0) {
+        pending_.clear();
+        restart_suspicions(now);
+        consecutive_failures_ = 0;
+        last_answer_at_ = now;
     }
-    for (std::size_t i = 0; i < running_.size();) {
-        Running& running = running_[i];
-        if (!running.asked && now >= running.at + settings_.direct) {
-            running.asked = true;
-            ask_others(running, out);
+    for (std::size_t i = 0; i < pending_.size();) {
+        PendingProbe& pending = pending_[i];
+        if (!pending.indirect_sent && now >= pending.sent_at + settings_.direct_timeout) {
+            pending.indirect_sent = true;
+            probe_indirectly(pending, out);
         }
-        if (now < running.at + settings_.direct + settings_.second) {
+        if (now < pending.sent_at + settings_.direct_timeout + settings_.indirect_timeout) {
             ++i;
             continue;
         }
-        const std::uint32_t ip = running.ip;
-        running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(i));
-        ++failures_;
+        const std::uint32_t ip = pending.ip;
+        pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(i));
+        ++consecutive_failures_;
         Member* member = find(ip);
-        if (!member || member->standing != Standing::alive || deaf()) continue;
+        if (!member || member->standing != Standing::alive || isolated()) continue;
         set(now, ip, Standing::suspect);
-        suspect(now, *member, true);
+        start_suspicion(now, *member, true);
         out.suspected.push_back(ip);
     }
-    for (std::size_t i = 0; suspects_ && i < members_.size(); ++i) {
+    for (std::size_t i = 0; suspect_count_ && i < members_.size(); ++i) {
         Member& member = members_[i];
         if (member.standing != Standing::suspect) continue;
-        if (now >= member.until) {
-            if (answered_at_ <= member.began) {
-                member.until = now + settings_.again;
+        if (now >= member.expires_at) {
+            if (last_answer_at_ <= member.suspected_at) {
+                member.expires_at = now + settings_.suspect_probe_interval;
             } else {
                 set(now, member.ip, Standing::gone);
                 out.gone.push_back(member.ip);
                 continue;
             }
         }
-        if (now >= member.again) {
-            member.again = now + settings_.again;
-            out.probes.push_back({member.ip, ++number_});
+        if (now >= member.next_probe_at) {
+            member.next_probe_at = now + settings_.suspect_probe_interval;
+            out.probes.push_back({member.ip, ++last_number_});
         }
     }
-    if (now >= next_) {
-        next_probe(now, out);
-        // From when it was due: those that go early make up for those that go late.
-        next_ = std::max(next_, now - settings_.period / 4) + pause();
+    if (now >= next_probe_at_) {
+        probe_next(now, out);
+        // Counted from the time at which the probe was due, at most a quarter of the interval back, so that
+        // late ticks do not lower the probe rate.
+        next_probe_at_ = std::max(next_probe_at_, now - settings_.probe_interval / 4) + next_interval();
     }
-    if (gone_ && now >= next_gone_) {
-        probe_gone(out);
-        next_gone_ = now + settings_.gone_again * (0.9 + 0.2 * random_.unit());
+    if (gone_count_ && now >= next_gone_probe_at_) {
+        probe_random_gone(out);
+        next_gone_probe_at_ = now + settings_.gone_probe_interval * (0.9 + 0.2 * random_.unit());
     }
-    work_out_due();
-}
-
-Millis FailureDetector::pause() {
-    return settings_.period * (suspects_ ? 0.5 : 1) * (0.95 + 0.1 * random_.unit());
+    update_due();
 }
 
-void FailureDetector::early(Millis now, Output& out) {
-    if (now >= next_ || now < next_ - settings_.early * settings_.period) return;
-    next_probe(now, out);
-    next_ += pause();
-    work_out_due();
+Millis FailureDetector::next_interval() {
+    return settings_.probe_interval * (suspect_count_ ? 0.5 : 1) * (0.95 + 0.1 * random_.unit());
 }
 
-void FailureDetector::work_out_due() {
-    due_ = next_;
-    if (gone_) due_ = std::min(due_, next_gone_);
-    for (const Running& running : running_)
-        due_ = std::min(due_, running.at + settings_.direct + (running.asked ? settings_.second : 0));
-    if (suspects_)
+void FailureDetector::probe_early(Millis now, Output& out) {
+    if (now >= next_probe_at_ ||
+        now < next_probe_at_ - settings_.early_probe_fraction * settings_.probe_interval)
+        return;
+    probe_next(now, out);
+    next_probe_at_ += next_interval();
+    update_due();
+}
+
+void FailureDetector::update_due() {
+    due_ = next_probe_at_;
+    if (gone_count_) due_ = std::min(due_, next_gone_probe_at_);
+    for (const PendingProbe& pending : pending_)
+        due_ = std::min(due_, pending.sent_at + settings_.direct_timeout +
+                                  (pending.indirect_sent ? settings_.indirect_timeout : 0));
+    if (suspect_count_)
         for (const Member& member : members_)
-            if (member.standing == Standing::suspect) due_ = std::min({due_, member.until, member.again});
+            if (member.standing == Standing::suspect)
+                due_ = std::min({due_, member.expires_at, member.next_probe_at});
 }
 
 }  // namespace cobaltshift::failure_detector
--- a/src/failure_detector/failure_detector.hpp
+++ b/src/failure_detector/failure_detector.hpp
@@ -1,13 +1,16 @@
-// Who of the others lives (the watch: SWIM failure detection, Das et al. 2002, with Lifeguard's care for
-// one's own health, Dadgar et al. 2017). Entry type: FailureDetector. Called by gossip's Gossip. Free of I/O.
+// Failure detection for cluster members: SWIM (Das et al. 2002) with the local-health rules of Lifeguard
+// (Dadgar et al. 2017). Entry type: FailureDetector. Used by gossip::Gossip, which sends the probes. Free of
+// I/O; not thread-safe.
 //
-// One member is probed a period (two, while anybody is suspect), in a shuffled round. Without an answer,
-// others are asked to probe it; without one from them it is suspect, and gone unless it answers or says
-// otherwise. Load does not depend on the number of members.
+// One member is probed per probe interval, in an order that is shuffled for each round; while any member is
+// suspect the interval is halved. If the member does not answer in time, other members are asked to probe it.
+// If they get no answer either it becomes suspect, and gone unless an answer or a newer record of it arrives
+// before the suspicion expires. The probe load does not depend on the number of members.
 //
 // Invariants:
-// - Nobody is declared gone by one who has had no answer at all since the suspicion began: it is cut off.
-// - After a tick that comes late (frozen, thawed) every probe and suspicion starts anew.
+// - A node that has received no answer from any member since a suspicion began does not declare the suspect
+//   gone: the node itself may be cut off.
+// - After a tick that comes late (the process was frozen) all probes and suspicions start anew.
 #pragma once
 
 #include <cstddef>
@@ -23,19 +26,19 @@
 using registry::Standing;
 
 struct Settings {
-    Millis period = 500;       // between probes
-    Millis direct = 150;       // for an answer, before others are asked
-    Millis second = 250;       // for theirs
-    Millis suspicion = 1200;   // own: from suspect to gone
-    Millis heard_more = 700;   // longer for a suspicion heard of: who had it first says gone first
-    Millis again = 300;        // between probes of one whom we suspect
-    Millis gone_again = 2000;  // between probes of those gone
-    Millis late = 400;         // a tick this late: frozen
-    Millis silence = 2000;     // without any answer: what was suspected then starts anew with the next answer
-    std::size_t helpers = 3;   // asked for a second opinion
-    std::size_t deaf_after = 3;  // failures in a row: suspect nobody more
-    std::size_t at_once = 8;     // probes out
-    double early = 0.4;          // of a period, that a probe may go before its time
+    Millis probe_interval = 500;
+    Millis direct_timeout = 150;      // without an answer for this long, other members are asked to probe
+    Millis indirect_timeout = 250;    // for an answer to their probes, after direct_timeout
+    Millis suspicion_timeout = 1200;  // from suspect to gone, for a suspicion of this node's own
+    Millis relayed_suspicion_extra = 700;  // added for a relayed suspicion: its originator decides first
+    Millis suspect_probe_interval = 300;   // between probes of a member that this node suspects itself
+    Millis gone_probe_interval = 2000;     // between probes of members that are gone, one member each time
+    Millis freeze_threshold = 400;         // a tick this late means that the process was frozen
+    Millis isolation_threshold = 2000;  // suspicions restart at the first answer after this long without any
+    std::size_t indirect_probe_count = 3;     // members that are asked to probe
+    std::size_t isolated_after_failures = 3;  // failed probes in a row; then no member is suspected
+    std::size_t max_pending_probes = 8;       // bounds probe_now(), not the periodic probes
+    double early_probe_fraction = 0.4;        // of probe_interval: how early probe_early() may send
 };
 
 class FailureDetector {
@@ -43,66 +46,74 @@
     struct Probe {
         std::uint32_t to, number;
     };
-    struct Ask {
+    // A request to `helper` to probe `target`.
+    struct IndirectProbe {
         std::uint32_t helper, target, number;
     };
     struct Output {
         std::vector<Probe> probes;
-        std::vector<Ask> asks;
-        std::vector<std::uint32_t> suspected, gone, cleared;  // ips: found so just now
+        std::vector<IndirectProbe> indirect_probes;
+        std::vector<std::uint32_t> suspected, gone,
+            cleared;  // IPs of members that changed state in this call
     };
 
     FailureDetector(const Settings& settings, std::uint64_t seed);
 
-    // What others say or a record shows of a member. Suspect: of a suspicion heard of.
+    // Sets the state that a record or another node reports, and adds the member if it is not known. `suspect`
+    // starts a relayed suspicion.
     void set(Millis now, std::uint32_t ip, Standing standing);
     void remove(std::uint32_t ip);
-    // Any answer of this member: to our probe, to one we asked for, to a request.
-    void answered(Millis now, std::uint32_t ip, Output& out);
-    // A hint: probe it now.
-    void doubt(Millis now, std::uint32_t ip, Output& out);
+    // The member answered: a direct probe, an indirect one or a request.
+    void on_answer(Millis now, std::uint32_t ip, Output& out);
+    // Probes a member at once because of a hint that it may have failed; does nothing unless it is alive, has
+    // no probe pending and fewer than max_pending_probes are.
+    void probe_now(Millis now, std::uint32_t ip, Output& out);
 
+    // Does nothing before due().
     void tick(Millis now, Output& out);
-    // We are awake anyway: the next probe goes now if it is due soon, so that it costs no wake-up of its own.
-    void early(Millis now, Output& out);
+    // Sends the next periodic probe now if it is due soon. Called when the process is awake anyway, which
+    // saves a wake-up.
+    void probe_early(Millis now, Output& out);
     Millis due() const { return due_; }
-    bool deaf() const { return failures_ >= settings_.deaf_after; }
+    // Whether this node seems to be cut off: too many probes in a row have failed.
+    bool isolated() const { return consecutive_failures_ >= settings_.isolated_after_failures; }
 
 private:
     struct Member {
         std::uint32_t ip;
         Standing standing;
-        bool own = false;                        // suspicion is ours
-        Millis began = 0, until = 0, again = 0;  // while suspect
+        bool own_suspicion = false;                                  // else relayed
+        Millis suspected_at = 0, expires_at = 0, next_probe_at = 0;  // while suspect
     };
-    struct Running {
+    struct PendingProbe {
         std::uint32_t ip, number;
-        Millis at;
-        bool asked;
+        Millis sent_at;
+        bool indirect_sent;
     };
 
     std::vector<Member>::iterator at(std::uint32_t ip);
     Member* find(std::uint32_t ip);
     void probe(Millis now, std::uint32_t ip, Output& out);
-    void suspect(Millis now, Member& member, bool own);
-    void restart(Millis now);
-    // By another way: others, and the same way once more, as one loss is no sign.
-    void ask_others(const Running& running, Output& out);
-    void next_probe(Millis now, Output& out);
-    void probe_gone(Output& out);
-    void work_out_due();
-    // Till the next probe. While somebody is suspect it is half: seldom does one fall alone.
-    Millis pause();
+    void start_suspicion(Millis now, Member& member, bool own);
+    void restart_suspicions(Millis now);
+    // Asks other members to probe, and probes directly once more: a single lost datagram is no evidence.
+    void probe_indirectly(const PendingProbe& pending, Output& out);
+    void probe_next(Millis now, Output& out);
+    void probe_random_gone(Output& out);
+    void update_due();
+    // Until the next periodic probe, with 5 % jitter. Halved while a member is suspect, because members often
+    // fail together.
+    Millis next_interval();
 
     const Settings settings_;
     kelplb::Random random_;
-    std::vector<Member> members_;  // by ip
+    std::vector<Member> members_;  // sorted by IP
     std::vector<std::uint32_t> round_;
-    std::size_t cursor_ = 0;
-    std::vector<Running> running_;
-    std::size_t failures_ = 0, suspects_ = 0, gone_ = 0;
-    std::uint32_t number_ = 0;
-    Millis next_ = 0, next_gone_ = 0, due_ = 0, answered_at_ = -1e18;
+    std::size_t cursor_ = 0;  // in round_: the next to probe
+    std::vector<PendingProbe> pending_;
+    std::size_t consecutive_failures_ = 0, suspect_count_ = 0, gone_count_ = 0;
+    std::uint32_t last_number_ = 0;
+    Millis next_probe_at_ = 0, next_gone_probe_at_ = 0, due_ = 0, last_answer_at_ = -1e18;
 };
 
 }  // namespace cobaltshift::failure_detector
--- a/src/gossip/broadcast_tree.hpp
+++ b/src/gossip/broadcast_tree.hpp
@@ -1,14 +1,15 @@
-// The way of news through the fleet (the gossip: a dissemination tree, Plumtree, Leitao et al. 2007).
-// Entry type: BroadcastTree, of one node; called by Gossip, which owns the records. Free of I/O.
+// Dissemination of membership updates: Plumtree (epidemic broadcast trees, Leitao et al. 2007). Entry type:
+// BroadcastTree, one per node. Used by Gossip, which owns the records. Free of I/O; not thread-safe.
 //
-// Its neighbours are those before and after it on three rings of all nodes: one by zone, two by hash, so that
-// all work out the same links from the same table without a message, the degree is six at most, and the union
-// is an expander (few hops). GossipTransport goes eagerly over some links and is announced on the others. Who
-// gets it twice prunes the link; who has it announced and does not get it grafts the link back. All links are
-// eager at first, so the first news makes the tree.
+// A node's neighbours are those before and after it on three rings of all nodes: one is ordered by zone, two
+// by hash. All nodes compute the same links from the same membership table without exchanging messages, the
+// degree is at most six, and the union of the rings is an expander graph, so paths are short. Updates are
+// pushed over eager links and announced over the others. A node that receives an update twice prunes the link
+// of the second copy; a node that gets an update announced but not pushed grafts the link back. All links
+// start eager; the first updates form the tree.
 //
-// Invariant: what was announced and has not come is asked for until it came or all who announced it were
-// asked.
+// Invariant: an announced update that has not arrived is requested until it arrives or every node that
+// announced it has been asked.
 #pragma once
 
 #include <vector>
@@ -20,41 +21,42 @@
 using registry::Key;
 using registry::Millis;
 
-constexpr Millis kAnnounceAfter = 25;  // announcements are gathered this long
-constexpr Millis kGraftAfter = 70;     // what was announced may come by itself this long
-constexpr Millis kCalm = 40;           // without other news
-constexpr std::size_t kMostMissing = 256, kMostAside = 64;
+constexpr Millis kAnnounceDelayMs = 25;  // announcements are batched this long
+constexpr Millis kGraftTimeoutMs = 70;   // an announced update may arrive by itself within this time
+constexpr Millis kQuietPeriodMs = 40;    // without updates of other nodes, before links are pruned
+constexpr std::size_t kMaxMissing = 256, kMaxOffTree = 64;
 
-// Those that a node of this zone and ip is linked to.
+// The IPs of the nodes that `self` is linked to; nodes that are gone are left out.
 std::vector<std::uint32_t> neighbours_of(const registry::NodeRecord& self,
                                          const registry::Registry& registry);
 
 class BroadcastTree {
 public:
-    struct Keys {
+    struct KeyBatch {
         std::uint32_t to;
         std::vector<Key> keys;
     };
     struct Output {
-        std::vector<Keys> pushes, announces, grafts;
+        std::vector<KeyBatch> pushes, announces, grafts;
     };
 
-    // The links from now on; marks of those that stay are kept.
-    void link(const std::vector<std::uint32_t>& neighbours);
-    // GossipTransport that we have: to all but `from` (0: it is our own). Not by the tree: it came by another
-    // way (probes, copies compared) and is only announced, as the tree may be about to bring it, and must not
-    // be pruned for that.
-    void pass(Millis now, const Key& key, std::uint32_t from, bool by_tree, Output& out);
-    // `from` sent what we had. True: it is to be told to prune (each time, as that may get lost). Only where
-    // that is no more than a second way: not if the first copy came aside of the tree, nor while other news
-    // is on its way, as links pruned for different news at once leave parts without any.
-    bool twice(Millis now, std::uint32_t from, const std::vector<Key>& keys);
-    void pruned(std::uint32_t by) { mark(by, false); }
-    void grafted(std::uint32_t by) { mark(by, true); }
-    // We don't have `key`, and `from` does.
-    void announced(Millis now, std::uint32_t from, const Key& key);
-    // GossipTransport of this node that is as new has come, by whichever way.
-    void came(const Key& key);
+    // Replaces the set of links; links that remain keep their eager flag.
+    void set_neighbours(const std::vector<std::uint32_t>& neighbours);
+    // Forwards an update that this node holds to all neighbours but `from` (0: this node's own update). With
+    // `by_tree` false it came by another way (probes, table comparisons) and is only announced: the tree may
+    // be about to deliver it, and its link must not be pruned for that.
+    void forward(Millis now, const Key& key, std::uint32_t from, bool by_tree, Output& out);
+    // `from` pushed only updates that this node already has. Returns whether to send it a prune; this is
+    // repeated for each duplicate, as a prune may get lost. True only if the link is redundant: not if the
+    // first copy arrived outside the tree, nor while updates of other nodes are under way, because links
+    // pruned for different updates at the same time could disconnect part of the tree.
+    bool on_duplicate(Millis now, std::uint32_t from, const std::vector<Key>& keys);
+    void on_prune(std::uint32_t by) { set_eager(by, false); }
+    void on_graft(std::uint32_t by) { set_eager(by, true); }
+    // `from` has `key`, which this node lacks.
+    void on_announce(Millis now, std::uint32_t from, const Key& key);
+    // An update of the node of `key`, at least as new as it, has arrived in any way.
+    void on_received(const Key& key);
 
     void tick(Millis now, Output& out);
     Millis due() const;
@@ -62,25 +64,26 @@
     struct Link {
         std::uint32_t ip;
         bool eager;
-        std::vector<Key> waiting;  // to be announced
+        std::vector<Key> pending_announcements;
     };
     const std::vector<Link>& links() const { return links_; }
 
 private:
     struct Missing {
         Key key;
-        std::vector<std::uint32_t> by;  // who announced it and was not asked yet
-        Millis at;                      // to ask
+        std::vector<std::uint32_t> announcers;  // not asked yet
+        Millis next_graft_at;
     };
     Link* find(std::uint32_t ip);
-    void mark(std::uint32_t ip, bool eager);
+    void set_eager(std::uint32_t ip, bool eager);
 
     std::vector<Link> links_;
     std::vector<Missing> missing_;
-    std::vector<Key> aside_;  // the last that came by another way than the tree
-    std::size_t next_aside_ = 0;
-    std::uint32_t last_ip_ = 0;                  // whom the last news was of
-    Millis last_at_ = -1e18, other_at_ = -1e18;  // of it; of the last before it that was of another
+    std::vector<Key> recent_off_tree_;  // ring buffer of the updates that last arrived outside the tree
+    std::size_t next_off_tree_ = 0;
+    std::uint32_t last_subject_ = 0;  // the node that the last update is about
+    // When the last update arrived, and the last one before it that was about another node.
+    Millis last_received_at_ = -1e18, previous_subject_at_ = -1e18;
     Millis announce_at_ = 1e18;
 };
 
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -9,36 +9,39 @@
 using registry::newer;
 using registry::NodeRecord;
 using registry::Registry;
-using registry::same_age;
+using registry::same_version;
 using registry::Standing;
 
 namespace {
-constexpr std::size_t kMostRelays = 64;
-constexpr Millis kAskGone = 500;  // between probes of gone ones because of hints
-constexpr Millis kRelay = 1000, kForgetEvery = 5000, kJoinAgain = 200;
+constexpr std::size_t kMaxRelays = 64;
+constexpr Millis kGoneProbeIntervalMs = 500;  // between probes of gone nodes on hints
+constexpr Millis kRelayTimeoutMs = 1000, kPurgeIntervalMs = 5000, kJoinRetryMs = 200;
+constexpr Millis kJoinDelayMs = 20;  // from received records to the next comparison, as more may follow
+constexpr std::uint64_t kDetectorSeedSalt = 0x77617463;  // gives the detector a random sequence of its own
+constexpr std::size_t kKeyBytes = 21;                    // of an encoded Key
 }  // namespace
 
 Gossip::Gossip(const GossipSettings& settings, NodeRecord self)
     : settings_(settings),
-      own_(self.ip),
+      own_ip_(self.ip),
       random_(settings.seed),
-      detector_(settings.watch, settings.seed ^ 0x77617463) {
-    self.life = 1 + random_.below(std::size_t{1} << 31);
+      detector_(settings.detector, settings.seed ^ kDetectorSeedSalt) {
+    self.incarnation = 1 + random_.below(std::size_t{1} << 31);
     self.seq = 1;
-    registry_.take(0, self);
+    registry_.merge(0, self);
 }
 
 void Gossip::start(Millis now) {
     now_ = now;
-    knock_pause_ = settings_.knock_first;
-    knock_at_ = now;
-    forget_at_ = now + kForgetEvery;
-    compared_ = now - settings_.sync_pause;
+    seed_probe_delay_ = settings_.seed_probe_delay_min;
+    next_seed_probe_at_ = now;
+    next_purge_at_ = now + kPurgeIntervalMs;
+    last_comparison_at_ = now - settings_.comparison_interval;
     tick(now);
 }
 
 Gossip::Output Gossip::take() {
-    if (now_ >= flushed_ + settings_.gather) flush(now_);
+    if (now_ >= last_push_at_ + settings_.push_delay) send_updates(now_);
     auto& changed = out_.changed;
     std::sort(changed.begin(), changed.end());
     changed.erase(std::unique(changed.begin(), changed.end()), changed.end());
@@ -46,17 +49,18 @@
 }
 
 Millis Gossip::due() const {
-    // The rest goes along with probes.
-    const bool waits = !news_.pushes.empty();
-    return std::min({detector_.due(), tree_.due(), knows_others() ? 1e18 : knock_at_, join_at_,
-                     waits ? flushed_ + settings_.gather : 1e18});
+    // Purges, and probes of lost seeds while other nodes are known, need no wake-up of their own: they run at
+    // the next tick.
+    const bool push_pending = !updates_.pushes.empty();
+    return std::min({detector_.due(), tree_.due(), knows_live_nodes() ? 1e18 : next_seed_probe_at_,
+                     next_join_at_, push_pending ? last_push_at_ + settings_.push_delay : 1e18});
 }
 
 Message Gossip::message(Kind kind) const {
     const NodeRecord& own = self();
     Message message;
     message.kind = kind;
-    message.from = {own_, own.life, own.seq, own.config_edition, registry_.digest()};
+    message.from = {own_ip_, own.incarnation, own.seq, own.config_edition, registry_.digest()};
     return message;
 }
 
@@ -64,180 +68,183 @@
     now_ = now;
     NodeRecord next = record;
     const NodeRecord& own = self();
-    next.ip = own_;
-    next.life = own.life;
+    next.ip = own_ip_;
+    next.incarnation = own.incarnation;
     next.seq = own.seq;
     if (registry::same_content(next, own)) return;
     ++next.seq;
-    registry_.take(now, next);
-    pass(now, own_, 0);
+    registry_.merge(now, next);
+    forward(now, own_ip_, 0);
 }
 
-void Gossip::raise(Millis now, std::uint64_t life, std::uint64_t seq) {
-    NodeRecord next = Registry::handed_on(now, *registry_.find(own_));
-    if (life != next.life) {
-        ++counts_.lives;
-        out_.changed.push_back(own_);
+void Gossip::raise_version(Millis now, std::uint64_t incarnation, std::uint64_t seq) {
+    NodeRecord next = Registry::handed_on(now, *registry_.find(own_ip_));
+    if (incarnation != next.incarnation) {
+        ++counts_.incarnations_raised;
+        out_.changed.push_back(own_ip_);
     }
-    next.life = life;
+    next.incarnation = incarnation;
     next.seq = seq;
-    registry_.take(now, next);
-    pass(now, own_, 0);
+    registry_.merge(now, next);
+    forward(now, own_ip_, 0);
 }
 
-bool Gossip::contested(Millis now, const Key& key) {
-    if (key.ip != own_) return false;
+bool Gossip::check_own_key(Millis now, const Key& key) {
+    if (key.ip != own_ip_) return false;
     const NodeRecord& own = self();
-    if (key.life > own.life || (key.life == own.life && key.seq > own.seq)) {
-        raise(now, key.life + 1, 1);
-    } else if (same_age(key, own) && key.standing != Standing::alive) {
+    if (key.incarnation > own.incarnation || (key.incarnation == own.incarnation && key.seq > own.seq)) {
+        raise_version(now, key.incarnation + 1, 1);
+    } else if (same_version(key, own) && key.standing != Standing::alive) {
         ++counts_.refuted;
-        raise(now, own.life, own.seq + 1);
+        raise_version(now, own.incarnation, own.seq + 1);
     }
     return true;
 }
 
-void Gossip::pass(Millis now, std::uint32_t ip, std::uint32_t from, bool by_tree) {
-    if (relink_) {
-        relink_ = false;
-        tree_.link(neighbours_of(self(), registry_));
+void Gossip::forward(Millis now, std::uint32_t ip, std::uint32_t from, bool by_tree) {
+    if (links_outdated_) {
+        links_outdated_ = false;
+        tree_.set_neighbours(neighbours_of(self(), registry_));
     }
-    tree_.pass(now, registry_.find(ip)->key(), from, by_tree, news_);
+    tree_.forward(now, registry_.find(ip)->key(), from, by_tree, updates_);
 }
 
-bool Gossip::take_record(Millis now, const NodeRecord& record, std::uint32_t from, Way way) {
-    if (contested(now, {record.ip, record.life, record.seq, Standing::alive})) return false;
-    const Entry* had = registry_.find(record.ip);
-    const bool was_there = had && had->standing != Standing::gone;
-    const bool same_life = was_there && had->record.life == record.life;
-    const Registry::Merge merge = registry_.take(now, record);
-    if (merge.taken == Registry::Taken::refused) ++counts_.refused;
-    if (merge.taken != Registry::Taken::newer) return false;
-    changed_at_ = now;
-    if (!was_there) relink_ = true;
-    if (merge.changed) out_.changed.push_back(record.ip);
+bool Gossip::apply_record(Millis now, const NodeRecord& record, std::uint32_t from, Via via) {
+    if (check_own_key(now, {record.ip, record.incarnation, record.seq, Standing::alive})) return false;
+    const Entry* known = registry_.find(record.ip);
+    const bool was_present = known && known->standing != Standing::gone;
+    const bool same_incarnation = was_present && known->record.incarnation == record.incarnation;
+    const Registry::MergeResult result = registry_.merge(now, record);
+    if (result.outcome == Registry::MergeOutcome::refused) ++counts_.records_refused;
+    if (result.outcome != Registry::MergeOutcome::newer) return false;
+    last_change_at_ = now;
+    if (!was_present) links_outdated_ = true;
+    if (result.changed) out_.changed.push_back(record.ip);
     if (record.config_edition > self().config_edition)
         out_.editions.push_back({record.ip, record.config_edition});
     detector_.set(now, record.ip, Standing::alive);
-    tree_.came({record.ip, record.life, record.seq, Standing::alive});
-    // Of one that has just begun nobody else may know: it goes by the tree from here.
-    if (way != Way::quiet) pass(now, record.ip, from, way == Way::tree || !same_life);
+    tree_.on_received({record.ip, record.incarnation, record.seq, Standing::alive});
+    // No other node may know a new incarnation yet, so it is pushed over the tree in any case.
+    if (via != Via::initial_sync) forward(now, record.ip, from, via == Via::tree || !same_incarnation);
     return true;
 }
 
-bool Gossip::take_standing(Millis now, const Key& key, std::uint32_t from) {
-    if (key.standing == Standing::alive || contested(now, key)) return false;
+bool Gossip::apply_state(Millis now, const Key& key, std::uint32_t from) {
+    if (key.standing == Standing::alive || check_own_key(now, key)) return false;
     const Entry* entry = registry_.find(key.ip);
     if (!entry) return false;
-    if (newer(entry->record, key)) {  // refuted: they don't know yet
+    if (newer(entry->record, key)) {  // already refuted, which the sender does not know yet
         send_records(from, {entry->key()}, 1);
         return false;
     }
     if (entry->standing >= key.standing) return false;
-    Standing taken = key.standing;
+    Standing new_state = key.standing;
     if (key.standing == Standing::gone && entry->standing == Standing::alive && !entry->record.leaving) {
-        // Of its suspicion we never heard, nor perhaps it: it is asked, and gone if it doesn't answer.
-        send_keys(key.ip, Kind::doubt, {key});
-        taken = Standing::suspect;
+        // Neither this node nor perhaps the other one has seen a suspicion that could be refuted: the other
+        // is asked, and becomes gone unless it answers.
+        send_keys(key.ip, Kind::verify, {key});
+        new_state = Standing::suspect;
     }
-    if (taken == Standing::gone) {
-        registry_.bury(now, key);
-        relink_ = true;
-    } else if (newer(key, entry->record)) {  // suspected with a record that we don't have
-        send_keys(from, Kind::want, {key});
+    if (new_state == Standing::gone) {
+        registry_.mark_gone(now, key);
+        links_outdated_ = true;
+    } else if (newer(key, entry->record)) {  // suspected as of a record that this node lacks
+        send_keys(from, Kind::request, {key});
         return false;
     } else {
-        registry_.stand(now, key.ip, taken);
+        registry_.set_state(now, key.ip, new_state);
     }
-    changed_at_ = now;
-    detector_.set(now, key.ip, taken);
+    last_change_at_ = now;
+    detector_.set(now, key.ip, new_state);
     out_.changed.push_back(key.ip);
-    pass(now, key.ip, from);
+    forward(now, key.ip, from);
     return true;
 }
 
 void Gossip::heard(Millis now, const Message& message) {
     now_ = now;
-    if (message.from.ip == own_ || message.from.ip == 0) return;
-    bool any_new = false;  // what it says of itself first: so that we don't ask for it
+    if (message.from.ip == own_ip_ || message.from.ip == 0) return;
+    bool any_new = false;
+    // The sender's own record first, so that check_sender() does not request it.
     for (const NodeRecord& record : message.records)
         if (record.ip == message.from.ip)
-            any_new |= take_record(now, record, message.from.ip,
-                                   message.kind == Kind::news ? Way::tree : Way::aside);
-    greet(message);
+            any_new |= apply_record(now, record, message.from.ip,
+                                    message.kind == Kind::push ? Via::tree : Via::outside_tree);
+    check_sender(message);
     switch (message.kind) {
         case Kind::probe: {
-            answer_probe(now, message);
+            handle_probe(now, message);
             failure_detector::FailureDetector::Output out;
-            detector_.early(now, out);
-            return carry_out(now, out);
+            detector_.probe_early(now, out);
+            return apply_detector_output(now, out);
         }
         case Kind::ack:
-            return take_ack(now, message);
-        case Kind::ask_probe: {
-            if (message.target.ip == own_ || relays_.size() >= kMostRelays) return;
+            return handle_ack(now, message);
+        case Kind::indirect_probe: {
+            if (message.target.ip == own_ip_ || relays_.size() >= kMaxRelays) return;
             const auto number = static_cast<std::uint32_t>(0x80000000 | random_.below(0x7fffffff));
-            relays_.push_back({number, message.target.ip, message.from.ip, message.number, now + kRelay});
+            relays_.push_back(
+                {number, message.target.ip, message.from.ip, message.number, now + kRelayTimeoutMs});
             return probe(message.target.ip, number);
         }
-        case Kind::news:
-            return take_news(now, message, any_new);
+        case Kind::push:
+            return handle_push(now, message, any_new);
         case Kind::announce:
-            return take_announced(now, message);
+            return handle_announce(now, message);
         case Kind::graft:
-            tree_.grafted(message.from.ip);
-            news_.pushes.push_back({message.from.ip, message.keys});
+            tree_.on_graft(message.from.ip);
+            updates_.pushes.push_back({message.from.ip, message.keys});
             return;
         case Kind::prune:
-            return tree_.pruned(message.from.ip);
-        case Kind::ranges:
-            return answer_ranges(message);
+            return tree_.on_prune(message.from.ip);
+        case Kind::range_digests:
+            return handle_range_digests(message);
         case Kind::summary:
-            return take_summary(now, message);
-        case Kind::want:
-            return send_records(message.from.ip, message.keys, settings_.most_answers);
+            return handle_summary(now, message);
+        case Kind::request:
+            return send_records(message.from.ip, message.keys, settings_.max_reply_datagrams);
         case Kind::records:
             for (const NodeRecord& record : message.records)
-                take_record(now, record, message.from.ip, joined_ ? Way::aside : Way::quiet);
-            if (!joined_) join_at_ = std::min(join_at_, now + 20);
+                apply_record(now, record, message.from.ip, joined_ ? Via::outside_tree : Via::initial_sync);
+            if (!joined_) next_join_at_ = std::min(next_join_at_, now + kJoinDelayMs);
             return;
-        case Kind::doubt:
-            failure_detector::FailureDetector::Output doubts;
+        case Kind::verify:
+            failure_detector::FailureDetector::Output detector_output;
             for (const Key& key : message.keys) {
-                if (contested(now, key)) continue;
+                if (check_own_key(now, key)) continue;
                 const Entry* entry = registry_.find(key.ip);
                 if (!entry || entry->standing == Standing::gone || newer(entry->record, key)) continue;
-                send_keys(key.ip, Kind::doubt, {key});  // it says otherwise if it lives
-                detector_.doubt(now, key.ip, doubts);
+                send_keys(key.ip, Kind::verify, {key});  // if alive it refutes
+                detector_.probe_now(now, key.ip, detector_output);
             }
-            return carry_out(now, doubts);
+            return apply_detector_output(now, detector_output);
     }
 }
 
-void Gossip::greet(const Message& message) {
-    const Hello& from = message.from;
+void Gossip::check_sender(const Message& message) {
+    const Sender& from = message.from;
     if (from.config_edition > self().config_edition) out_.editions.push_back({from.ip, from.config_edition});
     const Entry* entry = registry_.find(from.ip);
-    const Key key{from.ip, from.life, from.seq, Standing::alive};
+    const Key key{from.ip, from.incarnation, from.seq, Standing::alive};
     if (!entry || newer(key, entry->record)) {
-        if (message.kind != Kind::announce) send_keys(from.ip, Kind::want, {key});  // else the gossip asks
+        if (message.kind != Kind::announce) send_keys(from.ip, Kind::request, {key});  // else the tree grafts
     } else if (newer(entry->record, key)) {
-        // It has begun anew and draws a lower life than before; or this was long on its way.
+        // The node restarted with a lower incarnation than before, or the message was delayed.
         send_records(from.ip, {entry->key()}, 1);
     } else if (entry->standing == Standing::gone) {
-        send_keys(from.ip, Kind::doubt, {entry->key()});
+        send_keys(from.ip, Kind::verify, {entry->key()});
     }
 }
 
 void Gossip::probe(std::uint32_t to, std::uint32_t number) {
     const Entry* entry = registry_.find(to);
     if (!entry || entry->standing == Standing::gone) {
-        Message strange = message(Kind::probe);
-        strange.number = number;
-        strange.target.ip = to;
-        if (entry) strange.target = entry->key();
-        strange.records.push_back(Registry::handed_on(now_, *registry_.find(own_)));
-        return send(to, std::move(strange));
+        Message full_probe = message(Kind::probe);
+        full_probe.number = number;
+        full_probe.target.ip = to;
+        if (entry) full_probe.target = entry->key();
+        full_probe.records.push_back(Registry::handed_on(now_, *registry_.find(own_ip_)));
+        return send(to, std::move(full_probe));
     }
     Message probe = message(Kind::probe);
     probe.number = number;
@@ -245,110 +252,110 @@
     send(to, std::move(probe));
 }
 
-void Gossip::answer_probe(Millis now, const Message& message) {
-    contested(now, message.target);
+void Gossip::handle_probe(Millis now, const Message& message) {
+    check_own_key(now, message.target);
     Message ack = this->message(Kind::ack);
     ack.number = message.number;
-    ack.target = registry_.find(own_)->key();
-    const bool behind = message.target.ip != own_ || newer(self(), message.target);
-    if (behind) ack.records.push_back(Registry::handed_on(now, *registry_.find(own_)));
+    ack.target = registry_.find(own_ip_)->key();
+    const bool behind = message.target.ip != own_ip_ || newer(self(), message.target);
+    if (behind) ack.records.push_back(Registry::handed_on(now, *registry_.find(own_ip_)));
     send(message.from.ip, std::move(ack));
 }
 
-void Gossip::take_ack(Millis now, const Message& message) {
+void Gossip::handle_ack(Millis now, const Message& message) {
     const std::uint32_t target = message.target.ip;
     failure_detector::FailureDetector::Output out;
-    detector_.answered(now, target, out);
-    carry_out(now, out);
-    if (target != message.from.ip) return;  // somebody else's answer, handed on to us
+    detector_.on_answer(now, target, out);
+    apply_detector_output(now, out);
+    if (target != message.from.ip) return;  // the answer to an indirect probe, relayed
     std::erase_if(relays_, [&](const Relay& relay) {
         if (relay.number != message.number || relay.target != target) return relay.until < now;
         Message ack = this->message(Kind::ack);
-        ack.number = relay.askers_number;
+        ack.number = relay.asker_number;
         ack.target = message.target;
         send(relay.asker, std::move(ack));
         return true;
     });
-    if (!joined_) join_at_ = std::min(join_at_, now);
+    if (!joined_) next_join_at_ = std::min(next_join_at_, now);
     compare_if_due(now, message);
 }
 
-void Gossip::take_news(Millis now, const Message& message, bool any_new) {
-    // One who tells us something new is no second way, whatever else comes with it.
+void Gossip::handle_push(Millis now, const Message& message, bool any_new) {
+    // A push that holds anything new is no duplicate, whatever else it holds.
     for (const NodeRecord& record : message.records)
-        if (record.ip != message.from.ip) any_new |= take_record(now, record, message.from.ip, Way::tree);
-    for (const Key& key : message.keys) any_new |= take_standing(now, key, message.from.ip);
-    if (any_new) return tree_.grafted(message.from.ip);
+        if (record.ip != message.from.ip) any_new |= apply_record(now, record, message.from.ip, Via::tree);
+    for (const Key& key : message.keys) any_new |= apply_state(now, key, message.from.ip);
+    if (any_new) return tree_.on_graft(message.from.ip);
     std::vector<Key> keys = message.keys;
     for (const NodeRecord& record : message.records)
-        keys.push_back({record.ip, record.life, record.seq, Standing::alive});
-    if (!tree_.twice(now, message.from.ip, keys)) return;
-    ++counts_.twice;
+        keys.push_back({record.ip, record.incarnation, record.seq, Standing::alive});
+    if (!tree_.on_duplicate(now, message.from.ip, keys)) return;
+    ++counts_.duplicates;
     send(message.from.ip, this->message(Kind::prune));
 }
 
-void Gossip::take_announced(Millis now, const Message& message) {
+void Gossip::handle_announce(Millis now, const Message& message) {
     for (const Key& key : message.keys) {
-        if (contested(now, key)) continue;
+        if (check_own_key(now, key)) continue;
         const Entry* entry = registry_.find(key.ip);
-        const bool have = entry && (newer(entry->record, key) ||
-                                    (same_age(entry->record, key) && entry->standing >= key.standing));
-        if (!have) tree_.announced(now, message.from.ip, key);
+        const bool up_to_date = entry && (newer(entry->record, key) || (same_version(entry->record, key) &&
+                                                                        entry->standing >= key.standing));
+        if (!up_to_date) tree_.on_announce(now, message.from.ip, key);
     }
 }
 
 void Gossip::leave(Millis now) {
     now_ = now;
-    flush(now);
+    send_updates(now);
     const NodeRecord& own = self();
-    const Key key{own_, own.life, own.seq, Standing::gone};
-    for (const auto& link : tree_.links()) send_keys(link.ip, Kind::news, {key});
+    const Key key{own_ip_, own.incarnation, own.seq, Standing::gone};
+    for (const auto& link : tree_.links()) send_keys(link.ip, Kind::push, {key});
 }
 
 void Gossip::reachable(Millis now, std::uint32_t ip) {
     now_ = now;
     const Entry* entry = registry_.find(ip);
-    if (entry && entry->standing == Standing::gone && now - asked_gone_ > kAskGone) {
-        asked_gone_ = now;
-        probe(ip, 0);  // only it can say that it lives
+    if (entry && entry->standing == Standing::gone && now - last_gone_probe_at_ > kGoneProbeIntervalMs) {
+        last_gone_probe_at_ = now;
+        probe(ip, 0);  // only its own newer record brings it back
     }
     failure_detector::FailureDetector::Output out;
-    detector_.answered(now, ip, out);
-    carry_out(now, out);
+    detector_.on_answer(now, ip, out);
+    apply_detector_output(now, out);
 }
 
 void Gossip::unreachable(Millis now, std::uint32_t ip) {
     now_ = now;
     failure_detector::FailureDetector::Output out;
-    detector_.doubt(now, ip, out);
-    carry_out(now, out);
+    detector_.probe_now(now, ip, out);
+    apply_detector_output(now, out);
 }
 
-void Gossip::carry_out(Millis now, failure_detector::FailureDetector::Output& out) {
+void Gossip::apply_detector_output(Millis now, failure_detector::FailureDetector::Output& out) {
     for (const std::uint32_t ip : out.suspected) {
         ++counts_.suspected;
-        if (!registry_.stand(now, ip, Standing::suspect)) continue;
+        if (!registry_.set_state(now, ip, Standing::suspect)) continue;
         out_.changed.push_back(ip);
-        pass(now, ip, 0);
+        forward(now, ip, 0);
     }
     for (const std::uint32_t ip : out.gone) {
         ++counts_.gone;
-        if (!registry_.stand(now, ip, Standing::gone)) continue;
-        changed_at_ = now;
-        relink_ = true;
+        if (!registry_.set_state(now, ip, Standing::gone)) continue;
+        last_change_at_ = now;
+        links_outdated_ = true;
         out_.changed.push_back(ip);
-        pass(now, ip, 0);
+        forward(now, ip, 0);
     }
     for (const std::uint32_t ip : out.cleared)
-        if (registry_.stand(now, ip, Standing::alive)) out_.changed.push_back(ip);
-    for (const auto& wanted : out.probes) probe(wanted.to, wanted.number);
-    for (const auto& ask : out.asks) {
+        if (registry_.set_state(now, ip, Standing::alive)) out_.changed.push_back(ip);
+    for (const auto& requested : out.probes) probe(requested.to, requested.number);
+    for (const auto& ask : out.indirect_probes) {
         const Entry* entry = registry_.find(ask.target);
         if (!entry) continue;
-        Message asking = message(Kind::ask_probe);
-        asking.number = ask.number;
-        asking.target = entry->key();
-        send(ask.helper, std::move(asking));
+        Message request = message(Kind::indirect_probe);
+        request.number = ask.number;
+        request.target = entry->key();
+        send(ask.helper, std::move(request));
     }
 }
 
@@ -356,86 +363,87 @@
     now_ = now;
     failure_detector::FailureDetector::Output out;
     detector_.tick(now, out);
-    carry_out(now, out);
-    tree_.tick(now, news_);
-    if (now >= knock_at_) knock(now);
-    if (now >= join_at_) {
-        join_at_ = joined_ ? 1e18 : now + kJoinAgain;
-        if (const std::uint32_t with = joined_ ? 0 : any_living()) compare(now, with);
+    apply_detector_output(now, out);
+    tree_.tick(now, updates_);
+    if (now >= next_seed_probe_at_) probe_seeds(now);
+    if (now >= next_join_at_) {
+        next_join_at_ = joined_ ? 1e18 : now + kJoinRetryMs;
+        if (const std::uint32_t peer = joined_ ? 0 : random_live_node()) compare(now, peer);
     }
-    if (now >= forget_at_) {
-        forget_at_ = now + kForgetEvery;
-        for (const std::uint32_t ip : registry_.forget(now)) detector_.remove(ip);
+    if (now >= next_purge_at_) {
+        next_purge_at_ = now + kPurgeIntervalMs;
+        for (const std::uint32_t ip : registry_.purge_gone(now)) detector_.remove(ip);
         std::erase_if(relays_, [&](const Relay& relay) { return relay.until < now; });
     }
 }
 
-void Gossip::flush(Millis now) {
-    if (news_.pushes.empty() && news_.announces.empty() && news_.grafts.empty()) return;
-    if (!news_.pushes.empty()) flushed_ = now;
-    auto news = std::exchange(news_, {});
-    for (auto& push : news.pushes) {
-        Message said = message(Kind::news);
+void Gossip::send_updates(Millis now) {
+    if (updates_.pushes.empty() && updates_.announces.empty() && updates_.grafts.empty()) return;
+    if (!updates_.pushes.empty()) last_push_at_ = now;
+    auto updates = std::exchange(updates_, {});
+    for (auto& push : updates.pushes) {
+        Message batch = message(Kind::push);
         std::size_t bytes = 0;
-        const auto go = [&] {
-            if (!said.records.empty() || !said.keys.empty())
-                send(push.to, std::exchange(said, message(Kind::news)));
+        const auto send_batch = [&] {
+            if (!batch.records.empty() || !batch.keys.empty())
+                send(push.to, std::exchange(batch, message(Kind::push)));
             bytes = 0;
         };
         for (const Key& key : push.keys) {
             const Entry* entry = registry_.find(key.ip);
             if (!entry) continue;
             const bool alive = entry->standing == Standing::alive;
-            const std::size_t size = alive ? bytes_of(entry->record) : 21;
-            if (bytes + size > kRoom) go();
+            const std::size_t size = alive ? max_encoded_bytes(entry->record) : kKeyBytes;
+            if (bytes + size > kMaxRecordBytes) send_batch();
             bytes += size;
             if (alive)
-                said.records.push_back(Registry::handed_on(now, *entry));
+                batch.records.push_back(Registry::handed_on(now, *entry));
             else
-                said.keys.push_back(entry->key());
+                batch.keys.push_back(entry->key());
         }
-        go();
+        send_batch();
     }
-    for (const auto& announce : news.announces) send_keys(announce.to, Kind::announce, announce.keys);
-    for (const auto& graft : news.grafts) send_keys(graft.to, Kind::graft, graft.keys);
+    for (const auto& announce : updates.announces) send_keys(announce.to, Kind::announce, announce.keys);
+    for (const auto& graft : updates.grafts) send_keys(graft.to, Kind::graft, graft.keys);
 }
 
 void Gossip::send_keys(std::uint32_t to, Kind kind, const std::vector<Key>& keys) {
-    for (std::size_t start = 0; start < keys.size(); start += kMostKeys) {
-        Message said = message(kind);
-        const std::size_t end = std::min(keys.size(), start + kMostKeys);
-        said.keys.assign(keys.begin() + static_cast<std::ptrdiff_t>(start),
-                         keys.begin() + static_cast<std::ptrdiff_t>(end));
-        send(to, std::move(said));
+    for (std::size_t start = 0; start < keys.size(); start += kMaxKeysPerMessage) {
+        Message batch = message(kind);
+        const std::size_t end = std::min(keys.size(), start + kMaxKeysPerMessage);
+        batch.keys.assign(keys.begin() + static_cast<std::ptrdiff_t>(start),
+                          keys.begin() + static_cast<std::ptrdiff_t>(end));
+        send(to, std::move(batch));
     }
 }
 
-void Gossip::send_records(std::uint32_t to, const std::vector<Key>& keys, std::size_t most) {
-    Message said = message(Kind::records);
+void Gossip::send_records(std::uint32_t to, const std::vector<Key>& keys, std::size_t max_messages) {
+    Message batch = message(Kind::records);
     std::vector<Key> gone;
     std::size_t bytes = 0;
-    const auto go = [&] {
-        if (!said.records.empty()) send(to, std::exchange(said, message(Kind::records)));
+    const auto send_batch = [&] {
+        if (!batch.records.empty()) send(to, std::exchange(batch, message(Kind::records)));
         bytes = 0;
     };
     for (const Key& key : keys) {
         const Entry* entry = registry_.find(key.ip);
         if (!entry) continue;
-        // Of one that is gone the others need no record, but that it is; itself needs to know its last life.
+        // A gone node's record is sent only to the node itself, which needs its last incarnation; other nodes
+        // only learn that it is gone.
         if (entry->standing == Standing::gone && key.ip != to) {
             gone.push_back(entry->key());
             continue;
         }
-        const std::size_t size = bytes_of(entry->record);
-        if (bytes + size > kRoom) {
-            if (--most == 0) break;
-            go();
+        const std::size_t size = max_encoded_bytes(entry->record);
+        if (bytes + size > kMaxRecordBytes) {
+            if (--max_messages == 0) break;
+            send_batch();
         }
         bytes += size;
-        said.records.push_back(Registry::handed_on(now_, *entry));
+        batch.records.push_back(Registry::handed_on(now_, *entry));
     }
-    go();
-    send_keys(to, Kind::doubt, gone);
+    send_batch();
+    send_keys(to, Kind::verify, gone);
 }
 
 }  // namespace cobaltshift::gossip
--- a/src/gossip/gossip.hpp
+++ b/src/gossip/gossip.hpp
@@ -1,14 +1,15 @@
-// One node's whole knowledge of the others (membership): table, failure detector, dissemination and
-// anti-entropy put together, as one state machine: messages, ticks and own changes in, datagrams and events
-// out. Entry type: Gossip. Called by gossip_io's GossipTransport, and by tests in virtual time. Free of I/O.
+// Cluster membership as seen by one node: the membership table, failure detector, dissemination tree and
+// anti-entropy combined into one state machine. Messages, ticks and changes of the node's own record go in,
+// datagrams and events come out. Entry type: Gossip. Driven by gossip_io::GossipTransport over UDP, and in
+// virtual time by tests and the simulator. Free of I/O; not thread-safe.
 //
 // Invariants:
-// - Only the own node makes records of it; whoever holds a later record of it than its own makes it take a
-// higher life.
-// - A node told gone comes back only by a later record of its own.
-// - Who holds a node alive does not take over from a copy's digest that it is gone: it looks for itself
-// (doubt).
-// - Own probes, and so the load of a node at rest, don't grow with the fleet.
+// - Only a node itself creates its records. If others hold a later record of it than its own, for example
+//   from before a restart, it takes a higher incarnation.
+// - A node that was reported gone comes back only by a later record of its own.
+// - A node that holds another alive does not adopt from a table comparison that it is gone: it probes
+//   (verify).
+// - The rate of a node's probes, and so the load of an idle node, does not grow with the cluster.
 #pragma once
 
 #include <optional>
@@ -22,18 +23,20 @@
 using registry::NodeRecord;
 
 struct GossipSettings {
-    std::vector<std::uint32_t> seeds;  // ips
-    std::uint64_t seed = 0;  // of all that is drawn; differs from node to node and from life to life
-    failure_detector::Settings watch;
-    Millis knock_first = 250,
-           knock_last = 4000;       // pauses between calls to seeds that are not among the living
-    Millis sync_pause = 250;        // between comparings begun by us, at least
-    Millis gather = 8;              // news on its way goes at once, and then so long after the last
-    std::size_t most_answers = 24;  // datagrams in answer to one question
+    std::vector<std::uint32_t> seeds;  // IPs
+    std::uint64_t seed = 0;  // of the random numbers; must differ between nodes and between restarts
+    failure_detector::Settings detector;
+    // Between probes of seeds that are not among the live nodes. The delay grows from the lower to the upper
+    // bound while no other node is known, and is the upper bound otherwise.
+    Millis seed_probe_delay_min = 250, seed_probe_delay_max = 4000;
+    Millis comparison_interval = 250;  // at least, between table comparisons that this node starts
+    Millis push_delay = 8;             // between pushes: the first is sent at once, later updates are batched
+    std::size_t max_reply_datagrams = 24;  // in reply to one message
 };
 
 struct GossipCounts {
-    std::uint64_t syncs = 0, twice = 0, suspected = 0, gone = 0, refuted = 0, lives = 0, refused = 0;
+    std::uint64_t comparisons = 0, duplicates = 0, suspected = 0, gone = 0, refuted = 0,
+                  incarnations_raised = 0, records_refused = 0;
 };
 
 class Gossip {
@@ -42,102 +45,106 @@
         std::uint32_t to;
         Message message;
     };
-    struct Edition {
+    struct NodeEdition {
         std::uint32_t ip;
         std::uint64_t config_edition;
     };
     struct Output {
         std::vector<Datagram> datagrams;
-        std::vector<std::uint32_t>
-            changed;  // record's content or standing; of this one's own too, if its life rose
-        std::vector<Edition> editions;  // newer than ours, as told just now
+        // IPs of the nodes whose record content or state changed; of this node if its incarnation was raised.
+        std::vector<std::uint32_t> changed;
+        std::vector<NodeEdition> editions;  // nodes that reported a newer configuration than this node's
     };
 
-    // `self`: its seq is 1 and its life is drawn here; both are kept by the Gossip from then on.
+    // The seq and incarnation in `self` are ignored: seq starts at 1, the incarnation at a random number.
     Gossip(const GossipSettings& settings, NodeRecord self);
 
     void start(Millis now);
-    // Of `record` all is taken but ip, life, seq. Changes of call_seq or a warm-up's rest alone are nobody's
-    // news.
+    // Updates this node's own record; ip, incarnation and seq of `record` are ignored. Nothing is sent if
+    // only call_seq or the remaining warm-up differs.
     void tell(Millis now, const NodeRecord& record);
-    // `message` has come from the address that it names.
+    // Handles a received message. The caller has checked that it came from the IP that it names.
     void heard(Millis now, const Message& message);
-    // It ends: of one that said `leaving` the others then take it at once that it is gone.
+    // Announces that this node shuts down. If its record says `leaving`, the others mark it gone at once.
     void leave(Millis now);
     void tick(Millis now);
-    // When tick() is wanted next; after each call of any other function it may be earlier.
+    // When to call tick() next. Any call of another function may make it earlier.
     Millis due() const;
+    // The output collected so far.
     Output take();
 
+    // Hints from other connections: the node has just answered, or failed to.
     void reachable(Millis now, std::uint32_t ip);
     void unreachable(Millis now, std::uint32_t ip);
 
-    const NodeRecord& self() const { return registry_.find(own_)->record; }
+    const NodeRecord& self() const { return registry_.find(own_ip_)->record; }
     const registry::Registry& registry() const { return registry_; }
-    // A whole comparing with another node found none that it knows and we don't.
+    // A complete table comparison found no node that this one does not know. Never false again.
     bool joined() const { return joined_; }
     const GossipCounts& counts() const { return counts_; }
-    // Those that this node is linked to, and whether eagerly.
+    // This node's links in the broadcast tree.
     const std::vector<BroadcastTree::Link>& links() const { return tree_.links(); }
 
 private:
-    struct Relay {  // a probe for another
-        std::uint32_t number, target, asker, askers_number;
+    struct Relay {  // an indirect probe sent for `asker`
+        std::uint32_t number, target, asker, asker_number;
         Millis until;
     };
 
     Message message(Kind kind) const;
     void send(std::uint32_t to, Message message) { out_.datagrams.push_back({to, std::move(message)}); }
     void send_keys(std::uint32_t to, Kind kind, const std::vector<Key>& keys);
-    // As so many messages as are needed, `most` at most.
-    void send_records(std::uint32_t to, const std::vector<Key>& keys, std::size_t most);
+    // Sends the records of these keys' nodes in at most `max_messages` messages. Nodes that are gone are sent
+    // as keys to verify instead, except to the node itself.
+    void send_records(std::uint32_t to, const std::vector<Key>& keys, std::size_t max_messages);
     void probe(std::uint32_t to, std::uint32_t number);
     void probe_stranger(std::uint32_t to);
 
-    void greet(const Message& message);
-    void answer_probe(Millis now, const Message& message);
-    void take_ack(Millis now, const Message& message);
-    void take_news(Millis now, const Message& message, bool any_new);
-    void take_announced(Millis now, const Message& message);
-    void answer_ranges(const Message& message);
-    void take_summary(Millis now, const Message& message);
-    void compare(Millis now, std::uint32_t with);
+    void check_sender(const Message& message);
+    void handle_probe(Millis now, const Message& message);
+    void handle_ack(Millis now, const Message& message);
+    void handle_push(Millis now, const Message& message, bool any_new);
+    void handle_announce(Millis now, const Message& message);
+    void handle_range_digests(const Message& message);
+    void handle_summary(Millis now, const Message& message);
+    void compare(Millis now, std::uint32_t peer);
     void compare_if_due(Millis now, const Message& message);
 
-    // The own node is told of as later than it is.
-    bool contested(Millis now, const Key& key);
-    void raise(Millis now, std::uint64_t life, std::uint64_t seq);
-    enum class Way : std::uint8_t { tree, aside, quiet };  // quiet: nobody is told
-    // True: it was new.
-    bool take_record(Millis now, const NodeRecord& record, std::uint32_t from, Way way);
-    bool take_standing(Millis now, const Key& key, std::uint32_t from);
-    void pass(Millis now, std::uint32_t ip, std::uint32_t from, bool by_tree = true);
-    void carry_out(Millis now, failure_detector::FailureDetector::Output& out);
-    void flush(Millis now);
-    void knock(Millis now);
-    bool knows_others() const;
-    bool seed_away(std::uint32_t ip) const;
-    std::uint32_t any_living();
+    // True if the key is of this node. If it is newer than the own record, or calls this node suspect or
+    // gone, the claim is refuted by a new version of the record.
+    bool check_own_key(Millis now, const Key& key);
+    void raise_version(Millis now, std::uint64_t incarnation, std::uint64_t seq);
+    enum class Via : std::uint8_t { tree, outside_tree, initial_sync };  // how a record arrived
+    // True if the record was new. Records of the initial synchronisation are not forwarded.
+    bool apply_record(Millis now, const NodeRecord& record, std::uint32_t from, Via via);
+    bool apply_state(Millis now, const Key& key, std::uint32_t from);
+    void forward(Millis now, std::uint32_t ip, std::uint32_t from, bool by_tree = true);
+    void apply_detector_output(Millis now, failure_detector::FailureDetector::Output& out);
+    void send_updates(Millis now);
+    void probe_seeds(Millis now);
+    bool knows_live_nodes() const;
+    bool is_lost_seed(std::uint32_t ip) const;
+    std::uint32_t random_live_node();
 
     const GossipSettings settings_;
-    const std::uint32_t own_;
+    const std::uint32_t own_ip_;
     kelplb::Random random_;
     registry::Registry registry_;
     failure_detector::FailureDetector detector_;
     BroadcastTree tree_;
-    BroadcastTree::Output news_;  // gathered in this turn
+    BroadcastTree::Output updates_;  // collected until send_updates()
     Output out_;
     std::vector<Relay> relays_;
     GossipCounts counts_;
-    Millis now_ = 0;  // of the turn
-    bool relink_ = false, joined_ = false;
-    Millis knock_at_ = 1e18, knock_pause_ = 0, join_at_ = 1e18, flushed_ = -1e18, compared_ = -1e18,
-           changed_at_ = -1e18, forget_at_ = 0;
-    Millis asked_gone_ = -1e18;
+    Millis now_ = 0;  // of the current call
+    bool links_outdated_ = false, joined_ = false;
+    Millis next_seed_probe_at_ = 1e18, seed_probe_delay_ = 0, next_join_at_ = 1e18, last_push_at_ = -1e18,
+           last_comparison_at_ = -1e18, last_change_at_ = -1e18, next_purge_at_ = 0;
+    Millis last_gone_probe_at_ = -1e18;
     std::size_t next_seed_ = 0;
-    std::uint32_t question_ = 0;
-    std::uint64_t parts_ = 0;  // of the summary that is awaited: those that came
-    bool unknown_seen_ = false, differed_ = false;
+    std::uint32_t comparison_number_ = 0;
+    std::uint64_t received_parts_ = 0;  // bit mask of the awaited summary's parts
+    bool missing_node_seen_ = false, digest_differed_ = false;
 };
 
 }  // namespace cobaltshift::gossip
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint16_t kMagic = 0xc0b5;
 constexpr std::uint8_t kFormat = 1;
 
-struct Writing : std::streambuf {
+struct WriteBuffer : std::streambuf {
     std::string bytes;
     std::streamsize xsputn(const char* data, std::streamsize size) override {
         bytes.append(data, static_cast<std::size_t>(size));
@@ -31,24 +31,25 @@
     }
 };
 
-struct Reading : std::streambuf {
-    explicit Reading(std::string_view bytes) {
+struct ReadBuffer : std::streambuf {
+    explicit ReadBuffer(std::string_view bytes) {
         char* start = const_cast<char*>(bytes.data());
         setg(start, start, start + bytes.size());
     }
     std::size_t left() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
 
-// Of the two archives: what they write and read is told once, by parts().
-struct Out {
+// The two archives have the same interface, so that serialize() describes each type's wire format once for
+// both directions.
+struct Encoder {
     cereal::BinaryOutputArchive archive;
-    static constexpr bool reads = false;
+    static constexpr bool kDecodes = false;
     template <class... T>
-    void plain(T&... values) {
+    void scalars(T&... values) {
         archive(values...);
     }
     void text(std::string& value) {
-        const auto size = static_cast<std::uint8_t>(std::min(value.size(), kMostText));
+        const auto size = static_cast<std::uint8_t>(std::min(value.size(), kMaxTextBytes));
         archive(size, cereal::binary_data(value.data(), size));
     }
     template <class T, class Each>
@@ -59,17 +60,17 @@
     }
 };
 
-struct In {
+struct Decoder {
     cereal::BinaryInputArchive archive;
-    static constexpr bool reads = true;
+    static constexpr bool kDecodes = true;
     template <class... T>
-    void plain(T&... values) {
+    void scalars(T&... values) {
         archive(values...);
     }
     void text(std::string& value) {
         std::uint8_t size = 0;
         archive(size);
-        if (size > kMostText) throw cereal::Exception("text too long");
+        if (size > kMaxTextBytes) throw cereal::Exception("text exceeds kMaxTextBytes");
         value.resize(size);
         archive(cereal::binary_data(value.data(), size));
     }
@@ -82,11 +83,11 @@
 };
 
 template <class Archive, class Enum>
-void choice(Archive& archive, Enum& value, std::uint8_t count) {
+void enum_value(Archive& archive, Enum& value, std::uint8_t count) {
     auto number = static_cast<std::uint8_t>(value);
-    archive.plain(number);
-    if constexpr (Archive::reads) {
-        if (number >= count) throw cereal::Exception("no such choice");
+    archive.scalars(number);
+    if constexpr (Archive::kDecodes) {
+        if (number >= count) throw cereal::Exception("enum value out of range");
         value = static_cast<Enum>(number);
     }
 }
@@ -98,8 +99,8 @@
         if (*value) bits |= bit;
         bit = static_cast<std::uint8_t>(bit << 1);
     }
-    archive.plain(bits);
-    if constexpr (Archive::reads)
+    archive.scalars(bits);
+    if constexpr (Archive::kDecodes)
         for (bool* value : values) {
             *value = bits & 1;
             bits >>= 1;
@@ -107,76 +108,76 @@
 }
 
 template <class Archive>
-void parts(Archive& archive, Key& key) {
-    archive.plain(key.ip, key.life, key.seq);
-    choice(archive, key.standing, 3);
+void serialize(Archive& archive, Key& key) {
+    archive.scalars(key.ip, key.incarnation, key.seq);
+    enum_value(archive, key.standing, 3);
 }
 
 template <class Archive>
-void parts(Archive& archive, ServerRecord& server) {
+void serialize(Archive& archive, ServerRecord& server) {
     archive.text(server.life);
     archive.text(server.service);
     archive.text(server.edition);
-    archive.plain(server.port, server.capacity, server.call_seq);
+    archive.scalars(server.port, server.capacity, server.call_seq);
     auto warmup = static_cast<float>(server.warmup_left_s);
-    archive.plain(warmup);
-    if constexpr (Archive::reads) server.warmup_left_s = warmup >= 0 && warmup < 1e6F ? warmup : 0;
+    archive.scalars(warmup);
+    if constexpr (Archive::kDecodes) server.warmup_left_s = warmup >= 0 && warmup < 1e6F ? warmup : 0;
 }
 
 template <class Archive>
-void parts(Archive& archive, NodeRecord& record) {
-    archive.plain(record.ip, record.life, record.seq, record.traffic_port, record.config_edition);
-    choice(archive, record.role, 2);
+void serialize(Archive& archive, NodeRecord& record) {
+    archive.scalars(record.ip, record.incarnation, record.seq, record.traffic_port, record.config_edition);
+    enum_value(archive, record.role, 2);
     archive.text(record.zone);
     bool has_server = record.server.has_value(), closing = record.server && record.server->closing;
     flags(archive, {&record.ready, &record.leaving, &has_server, &closing});
     if (!has_server) return;
     if (!record.server) record.server.emplace();
-    parts(archive, *record.server);
+    serialize(archive, *record.server);
     record.server->closing = closing;
 }
 
 template <class Archive>
-void parts(Archive& archive, Message& message) {
+void serialize(Archive& archive, Message& message) {
     std::uint16_t magic = kMagic;
     std::uint8_t format = kFormat;
-    archive.plain(magic, format);
-    if (magic != kMagic || format != kFormat) throw cereal::Exception("not ours");
-    choice(archive, message.kind, kKinds);
+    archive.scalars(magic, format);
+    if (magic != kMagic || format != kFormat) throw cereal::Exception("unknown magic number or format");
+    enum_value(archive, message.kind, kKindCount);
     auto& from = message.from;
-    archive.plain(from.ip, from.life, from.seq, from.config_edition, from.digest);
-    const auto keys = [&] { archive.list(message.keys, [&](Key& key) { parts(archive, key); }); };
+    archive.scalars(from.ip, from.incarnation, from.seq, from.config_edition, from.digest);
+    const auto keys = [&] { archive.list(message.keys, [&](Key& key) { serialize(archive, key); }); };
     const auto records = [&] {
-        archive.list(message.records, [&](NodeRecord& record) { parts(archive, record); });
+        archive.list(message.records, [&](NodeRecord& record) { serialize(archive, record); });
     };
     switch (message.kind) {
         case Kind::probe:
         case Kind::ack:
-            archive.plain(message.number);
-            parts(archive, message.target);
+            archive.scalars(message.number);
+            serialize(archive, message.target);
             records();
             break;
-        case Kind::ask_probe:
-            archive.plain(message.number);
-            parts(archive, message.target);
+        case Kind::indirect_probe:
+            archive.scalars(message.number);
+            serialize(archive, message.target);
             break;
-        case Kind::ranges:
-            archive.plain(message.number);
-            flags(archive, {&message.fresh});
-            archive.plain(message.ranges);
+        case Kind::range_digests:
+            archive.scalars(message.number);
+            flags(archive, {&message.sender_is_new});
+            archive.scalars(message.ranges);
             break;
         case Kind::summary:
-            archive.plain(message.number, message.part, message.parts, message.mask);
+            archive.scalars(message.number, message.part, message.parts, message.complete_ranges);
             keys();
             break;
-        case Kind::news:
+        case Kind::push:
             records();
             keys();
             break;
         case Kind::announce:
         case Kind::graft:
-        case Kind::want:
-        case Kind::doubt:
+        case Kind::request:
+        case Kind::verify:
             keys();
             break;
         case Kind::records:
@@ -189,38 +190,40 @@
 
 }  // namespace
 
-std::size_t bytes_of(const NodeRecord& record) {
-    std::size_t bytes = 40 + std::min(record.zone.size(), kMostText);
+std::size_t max_encoded_bytes(const NodeRecord& record) {
+    std::size_t bytes = 40 + std::min(record.zone.size(), kMaxTextBytes);
     if (record.server)
-        bytes += 24 + std::min(record.server->life.size(), kMostText) +
-                 std::min(record.server->service.size(), kMostText) +
-                 std::min(record.server->edition.size(), kMostText);
+        bytes += 24 + std::min(record.server->life.size(), kMaxTextBytes) +
+                 std::min(record.server->service.size(), kMaxTextBytes) +
+                 std::min(record.server->edition.size(), kMaxTextBytes);
     return bytes;
 }
 
 std::string encode(const Message& message) {
-    Writing buffer;
+    WriteBuffer buffer;
     buffer.bytes.reserve(160);
     std::ostream stream(&buffer);
-    Out out{cereal::BinaryOutputArchive(stream)};
-    parts(out, const_cast<Message&>(message));  // Out changes nothing
+    Encoder encoder{cereal::BinaryOutputArchive(stream)};
+    serialize(encoder, const_cast<Message&>(message));  // Encoder does not modify it
     return std::move(buffer.bytes);
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-    if (bytes.size() > kMostBytes) return std::nullopt;
-    Reading buffer(bytes);
+    if (bytes.size() > kMaxDatagramBytes) return std::nullopt;
+    ReadBuffer buffer(bytes);
     std::istream stream(&buffer);
     try {
-        In in{cereal::BinaryInputArchive(stream)};
+        Decoder decoder{cereal::BinaryInputArchive(stream)};
         Message message;
-        parts(in, message);
+        serialize(decoder, message);
         if (buffer.left() || message.from.ip == 0) return std::nullopt;
-        // Numbers that leave no room above them are nobody's.
-        const auto sane = [](const auto& part) { return part.life < 1ULL << 62 && part.seq < 1ULL << 62; };
-        if (!sane(message.from) || !sane(message.target) ||
-            !std::all_of(message.keys.begin(), message.keys.end(), sane) ||
-            !std::all_of(message.records.begin(), message.records.end(), sane))
+        // A node refutes a claim about itself with a higher number: none may be so high that none is left.
+        const auto in_range = [](const auto& part) {
+            return part.incarnation < 1ULL << 62 && part.seq < 1ULL << 62;
+        };
+        if (!in_range(message.from) || !in_range(message.target) ||
+            !std::all_of(message.keys.begin(), message.keys.end(), in_range) ||
+            !std::all_of(message.records.begin(), message.records.end(), in_range))
             return std::nullopt;
         return message;
     } catch (const cereal::Exception&) {
--- a/src/gossip/message.hpp
+++ b/src/gossip/message.hpp
@@ -1,9 +1,8 @@
-// What nodes say to one another, a datagram each: typed, and in bytes (cereal). Entry: encode(), decode().
-// Called by gossip_io's GossipTransport and by tests. Free of I/O.
+// Messages between nodes, one per datagram, and their binary encoding (cereal). Entries: encode(), decode().
+// Used by Gossip, gossip_io::GossipTransport and tests. Free of I/O.
 //
-// In bytes: magic, format, kind, the sender's Hello, then what the kind has. decode() takes any bytes:
-// lengths are checked before anything is allocated for them, and what is left over at the end makes it none
-// of ours.
+// Encoding: magic number, format, kind, the Sender, then the fields of the kind. decode() accepts arbitrary
+// bytes: lengths are checked before memory is allocated for them, and trailing bytes make a datagram invalid.
 #pragma once
 
 #include <array>
@@ -16,52 +15,54 @@
 
 namespace cobaltshift::gossip {
 
-constexpr std::size_t kMostBytes = 1200;  // of a datagram
-constexpr std::size_t kMostText = 120;    // of a name; a longer one is cut off
+constexpr std::size_t kMaxDatagramBytes = 1200;
+constexpr std::size_t kMaxTextBytes = 120;  // of a text field; a longer one is truncated
 
+// The values are part of the wire format.
 enum class Kind : std::uint8_t {
-    probe,      // answer with ack; `target`: you, as we know you
-    ack,        // to a probe with this number, by `target`
-    ask_probe,  // probe `target` for us
-    news,       // records and standings, eagerly down the tree
-    announce,   // keys of news, for those who get it by another branch
-    graft,      // send me these keys, and from now on all
-    prune,      // I have it already: only announce
-    ranges,     // digests of my ranges: answer with a summary of those that differ
-    summary,    // keys of all nodes in the ranges of `mask`
-    want,       // records of these keys' nodes, please
-    records,    // as wanted, or because you seem not to have them
-    doubt,      // we think that these are gone: see for yourself
+    probe,           // to be answered with an ack; `target`: the receiver, as the sender knows it
+    ack,             // answers the probe of the same number; `target`: the node that was probed
+    indirect_probe,  // asks the receiver to probe `target`
+    push,            // records and states, sent over the tree's eager links
+    announce,        // keys of updates that the sender has, over the tree's other links
+    graft,           // asks for the updates of these keys, and makes the link eager
+    prune,           // the receiver's push was a duplicate: from now on it is only to announce
+    range_digests,   // digests of the sender's ranges, to be answered with a summary of those that differ
+    summary,         // keys of all nodes in the ranges of `complete_ranges`
+    request,         // asks for the records of these keys' nodes
+    records,         // as requested, or because the receiver seems to lack them
+    verify,          // these nodes are gone for the sender: the receiver is to check, or refute it
 };
-constexpr std::uint8_t kKinds = 12;
+constexpr std::uint8_t kKindCount = 12;
 
-// Of the sender, in each message: whoever is behind sees it.
-struct Hello {
+// The sender's version and table digest, in every message, so that a receiver that is behind notices.
+struct Sender {
     std::uint32_t ip = 0;
-    std::uint64_t life = 0, seq = 0, config_edition = 0, digest = 0;
+    std::uint64_t incarnation = 0, seq = 0, config_edition = 0, digest = 0;
 };
 
 struct Message {
     Kind kind = Kind::probe;
-    Hello from;
-    std::uint32_t number = 0;          // probe, ack, ask_probe; of the question in ranges and summary
-    registry::Key target;              // probe, ack, ask_probe
-    std::uint64_t mask = 0;            // summary: ranges that this part holds wholly
-    std::uint8_t part = 0, parts = 0;  // summary
-    bool fresh = false;                // ranges: I know hardly anybody
+    Sender from;
+    std::uint32_t number = 0;           // of the probe, or of the comparison (range_digests, summary)
+    registry::Key target;               // probe, ack, indirect_probe
+    std::uint64_t complete_ranges = 0;  // summary: bit mask of the ranges whose keys are all in this part
+    std::uint8_t part = 0, parts = 0;   // summary: index of this part, and how many there are
+    bool sender_is_new = false;         // range_digests: the sender knows hardly any nodes
     std::array<std::uint32_t, registry::kRanges> ranges{};
     std::vector<registry::Key> keys;
     std::vector<registry::NodeRecord> records;
 };
 
 std::string encode(const Message& message);
-// None: not one of ours, torn, or of another format.
+// None if the bytes are no message of this format or are truncated or invalid.
 std::optional<Message> decode(std::string_view bytes);
 
-// How many go into one message with certainty.
-constexpr std::size_t kMostKeys = 48;
-// The bytes that this record takes in a message at most; all records of one together kRoom at most.
-std::size_t bytes_of(const registry::NodeRecord& record);
-constexpr std::size_t kRoom = 1050;
+// This many keys always fit into one message.
+constexpr std::size_t kMaxKeysPerMessage = 48;
+// An upper bound of the record's encoded size. The bounds of all records in a message may add up to
+// kMaxRecordBytes.
+std::size_t max_encoded_bytes(const registry::NodeRecord& record);
+constexpr std::size_t kMaxRecordBytes = 1050;
 
 }  // namespace cobaltshift::gossip
--- a/src/gossip_io/gossip_transport.cpp
+++ b/src/gossip_io/gossip_transport.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-std::uint32_t ip_of(const std::string& text) {
+std::uint32_t parse_ip(const std::string& text) {
     error_code ec;
     const auto address = asio::ip::make_address_v4(text, ec);
     if (ec) throw boot::BootError("ip: not an IPv4 address: " + text);
     return address.to_uint();
 }
 
-std::uint64_t drawn() {
+std::uint64_t random_seed() {
     std::uint64_t seed = 0;
     if (::getrandom(&seed, sizeof seed, GRND_NONBLOCK) != static_cast<ssize_t>(sizeof seed))
         seed = static_cast<std::uint64_t>(Clock::Steady::now().time_since_epoch().count());
@@ -40,21 +40,21 @@
 gossip::GossipSettings settings_of(const std::vector<std::uint32_t>& seeds) {
     gossip::GossipSettings settings;
     settings.seeds = seeds;
-    settings.seed = drawn();
+    settings.seed = random_seed();
     return settings;
 }
 
 NodeRecord record_of(const boot::Boot& boot, registry::NodeRole role, std::uint16_t traffic_port) {
     NodeRecord record;
-    record.ip = ip_of(boot.ip);
+    record.ip = parse_ip(boot.ip);
     record.role = role;
     record.zone = boot.zone;
     record.traffic_port = traffic_port;
     return record;
 }
 
-constexpr int kMostReads = 256;  // datagrams taken before a late tick
-constexpr double kLate = 20;     // ms
+constexpr int kMaxReadsPerDrain = 256;  // datagrams read before a late tick
+constexpr double kLateTimerMs = 20;
 
 }  // namespace
 
@@ -64,8 +64,8 @@
                                  std::uint16_t traffic_port)
     : io_(io),
       port_(boot.first_port),
-      seeds_(seeds_of(boot, ip_of(boot.ip))),
-      socket_(io, udp::endpoint(asio::ip::address_v4(ip_of(boot.ip)), boot.first_port)),
+      seeds_(seeds_of(boot, parse_ip(boot.ip))),
+      socket_(io, udp::endpoint(asio::ip::address_v4(parse_ip(boot.ip)), boot.first_port)),
       timer_(io),
       gossip_(settings_of(seeds_), record_of(boot, role, traffic_port)) {
     socket_.non_blocking(true);
@@ -81,15 +81,15 @@
     if (running_) return;
     running_ = true;
     gossip_.start(now());
-    listen();
-    act_soon();
+    receive();
+    schedule_processing();
 }
 
 void GossipTransport::stop() {
     if (running_) {
         const double at = now();
-        if (untold_) gossip_.tell(at, *untold_);
-        untold_.reset();
+        if (pending_record_) gossip_.tell(at, *pending_record_);
+        pending_record_.reset();
         gossip_.leave(at);
         send(gossip_.take());
     }
@@ -99,52 +99,52 @@
     socket_.close(ignored);
 }
 
-// async_receive_from reads twice a datagram (the second finds none), and needs no epoll_ctl as a wait would.
-void GossipTransport::listen() {
-    socket_.async_receive_from(asio::buffer(bytes_), from_,
-                               [this, alive = alive_](error_code ec, std::size_t size) {
-                                   if (!*alive || !running_ || ec == asio::error::operation_aborted) return;
-                                   const double at = now();
-                                   if (!ec) take(at, size);  // else what came back of one that nobody took
-                                   act(at);
-                                   if (*alive && running_) listen();
-                               });
+// async_receive_from costs two reads per datagram (the second finds none) but, unlike a wait, no epoll_ctl.
+void GossipTransport::receive() {
+    socket_.async_receive_from(
+        asio::buffer(buffer_), sender_, [this, alive = alive_](error_code ec, std::size_t size) {
+            if (!*alive || !running_ || ec == asio::error::operation_aborted) return;
+            const double at = now();
+            if (!ec) handle_datagram(at, size);  // else an ICMP error for a datagram sent earlier
+            process(at);
+            if (*alive && running_) receive();
+        });
 }
 
-void GossipTransport::take(double at, std::size_t size) {
+void GossipTransport::handle_datagram(double at, std::size_t size) {
     ++counts_.received;
     counts_.received_bytes += size;
-    const auto message = gossip::decode({bytes_.data(), size});
-    if (message && from_.address().is_v4() && from_.address().to_v4().to_uint() == message->from.ip)
+    const auto message = gossip::decode({buffer_.data(), size});
+    if (message && sender_.address().is_v4() && sender_.address().to_v4().to_uint() == message->from.ip)
         gossip_.heard(at, *message);
     else
         ++counts_.dropped;
 }
 
-void GossipTransport::read_waiting(double at) {
-    for (int i = 0; i < kMostReads; ++i) {
+void GossipTransport::drain_socket(double at) {
+    for (int i = 0; i < kMaxReadsPerDrain; ++i) {
         error_code ec;
-        const std::size_t size = socket_.receive_from(asio::buffer(bytes_), from_, 0, ec);
+        const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender_, 0, ec);
         if (ec) return;
-        take(at, size);
+        handle_datagram(at, size);
     }
 }
 
-void GossipTransport::act_soon() {
-    if (acting_soon_ || !running_) return;
-    acting_soon_ = true;
+void GossipTransport::schedule_processing() {
+    if (processing_scheduled_ || !running_) return;
+    processing_scheduled_ = true;
     asio::post(io_, [this, alive = alive_] {
         if (!*alive) return;
-        acting_soon_ = false;
-        if (running_) act(now());
+        processing_scheduled_ = false;
+        if (running_) process(now());
     });
 }
 
-void GossipTransport::log(const Known& known) const {
+void GossipTransport::log_change(const Known& known) const {
     const std::string ip = address_text(known.record.ip);
     if (known.record.ip == gossip_.self().ip)
         log_line("NW002 own life raised", "NW002 own life raised: others hold a later record of this node",
-                 {{"life", known.record.life}});
+                 {{"life", known.record.incarnation}});
     else if (known.standing == Standing::suspect)
         log_line("NW003 node suspected", "NW003 node suspected: " + ip, {{"ip", ip}});
     else if (known.standing == Standing::gone)
@@ -165,16 +165,16 @@
     }
 }
 
-void GossipTransport::act(double at) {
-    if (untold_) {
-        gossip_.tell(at, *untold_);
-        untold_.reset();
+void GossipTransport::process(double at) {
+    if (pending_record_) {
+        gossip_.tell(at, *pending_record_);
+        pending_record_.reset();
     }
     if (at >= gossip_.due()) gossip_.tick(at);
     const Gossip::Output out = gossip_.take();
     send(out);
     set_timer();
-    if (gossip_.joined() && !std::exchange(said_joined_, true))
+    if (gossip_.joined() && !std::exchange(joined_logged_, true))
         log_line("NW001 joined",
                  "NW001 joined: " + std::to_string(gossip_.registry().entries().size()) + " nodes known",
                  {{"nodes", static_cast<std::uint64_t>(gossip_.registry().entries().size())}});
@@ -182,7 +182,7 @@
     for (const std::uint32_t ip : out.changed) {
         const auto known = node(ip);
         if (!known) continue;
-        log(*known);
+        log_change(*known);
         if (on_change) on_change(known->record, known->standing);
         if (!*alive || !running_) return;
     }
@@ -195,8 +195,8 @@
 
 void GossipTransport::set_timer() {
     const double due = gossip_.due();
-    if (due == timer_at_) return;
-    timer_at_ = due;
+    if (due == timer_due_) return;
+    timer_due_ = due;
     if (due >= 1e17) {
         timer_.cancel();
         return;
@@ -205,23 +205,25 @@
         origin_ + std::chrono::ceil<Clock::Steady::duration>(std::chrono::duration<double, std::milli>(due)));
     timer_.async_wait([this, alive = alive_](error_code ec) {
         if (ec || !*alive || !running_) return;
-        // Late: answers may lie there that came in time.
+        // The timer is late: the socket may hold answers that arrived in time.
         const double at = now();
-        if (at > std::exchange(timer_at_, 1e18) + kLate) read_waiting(at);
-        act(at);
+        if (at > std::exchange(timer_due_, 1e18) + kLateTimerMs) drain_socket(at);
+        process(at);
     });
 }
 
 void GossipTransport::tell(const std::function<void(NodeRecord&)>& change) {
-    if (!untold_) {
+    if (!pending_record_) {
         const registry::Entry* own = gossip_.registry().find(gossip_.self().ip);
-        untold_ = registry::Registry::handed_on(now(), *own);
+        pending_record_ = registry::Registry::handed_on(now(), *own);
     }
-    change(*untold_);
-    act_soon();
+    change(*pending_record_);
+    schedule_processing();
 }
 
-const NodeRecord& GossipTransport::self() const { return untold_ ? *untold_ : gossip_.self(); }
+const NodeRecord& GossipTransport::self() const {
+    return pending_record_ ? *pending_record_ : gossip_.self();
+}
 
 void GossipTransport::each(const std::function<void(const NodeRecord&, Standing)>& visit) const {
     const double at = now();
@@ -261,13 +263,13 @@
 void GossipTransport::reachable(std::uint32_t ip) {
     if (!running_) return;
     gossip_.reachable(now(), ip);
-    act_soon();
+    schedule_processing();
 }
 
 void GossipTransport::unreachable(std::uint32_t ip) {
     if (!running_) return;
     gossip_.unreachable(now(), ip);
-    act_soon();
+    schedule_processing();
 }
 
 std::string GossipTransport::status() const { return status_text(gossip_, counts_); }
--- a/src/gossip_io/gossip_transport.hpp
+++ b/src/gossip_io/gossip_transport.hpp
@@ -1,9 +1,10 @@
-// Membership and news over one UDP socket (discovery, failure detection, dissemination): gossip's Gossip
-// on a socket, a timer and the steady clock. Entry type: GossipTransport. Called by the proxy's and the
-// control node's programs, one of each process.
+// Cluster membership over one UDP socket (discovery, failure detection, dissemination): runs gossip::Gossip
+// on a socket, a timer and the steady clock. Entry type: GossipTransport. Used by the proxy and control node
+// programs, one instance per process.
 //
-// Told of itself by tell(); all others come by each(), node() and on_change. Nothing here throws but the
-// constructor. For one thread: the io_context's.
+// The node's own record is changed through update_self(); other nodes are read with for_each_node() and
+// node(), and reported by on_change. Only the constructor throws. Not thread-safe: use it on the io_context's
+// thread.
 #pragma once
 
 #include <array>
@@ -24,68 +25,68 @@
 
 struct Counts {
     std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
-    std::uint64_t dropped = 0;  // received, and none of ours or not from whom it says
-    std::uint64_t unsent = 0;   // refused by the system
+    std::uint64_t dropped = 0;  // received, but not decodable or not sent from the IP that it names
+    std::uint64_t unsent = 0;   // refused by the operating system
 };
 
 class GossipTransport {
 public:
-    // Throws boost::system::system_error if the socket (boot.ip : boot.first_port) can't be had,
-    // boot::BootError if boot.ip is no IPv4 address. `role` and `traffic_port` are told of this node, with
-    // boot.zone.
+    // Binds UDP boot.ip:boot.first_port. Throws boost::system::system_error if that fails and boot::BootError
+    // if boot.ip is not an IPv4 address. `role`, `traffic_port` and boot.zone go into this node's record.
     GossipTransport(asio::io_context& io, const boot::Boot& boot, registry::NodeRole role,
                     std::uint16_t traffic_port);
     ~GossipTransport();
 
     void start();
-    // Sends what was told last, and that it ends (others take that at once if it had said `leaving`). Then it
-    // says
-    // nothing more, and hears nothing more; no handler is called from now on.
+    // Sends pending changes of the own record and announces the shutdown (others mark the node gone at once
+    // if its record says `leaving`). Afterwards nothing is sent or received, and no handler is called.
     void stop();
 
-    // Changes the own record (its ip, life and seq are not the caller's); several changes in one turn of the
-    // loop go out as one. What differs in server.call_seq or the rest of a warm-up alone goes to nobody:
-    // tell() may be called for each beat.
+    // Changes the node's own record; ip, incarnation and seq are managed by the transport. Changes made in
+    // one turn of the event loop are sent together. If only server.call_seq or the remaining warm-up differs
+    // nothing is sent, so this may be called for every heartbeat.
     void tell(const std::function<void(NodeRecord&)>& change);
     const NodeRecord& self() const;
 
-    // All known others, with what is left of their warm-ups; by ip.
+    // Visits all other known nodes in the order of their IPs, with their remaining warm-ups as of now.
     void each(const std::function<void(const NodeRecord&, Standing)>& visit) const;
     struct Known {
         NodeRecord record;
         Standing standing;
     };
     std::optional<Known> node(std::uint32_t ip) const;
-    // Not gone and not leaving, this one included if it is a proxy.
+    // The number of proxies that are neither gone nor leaving, this node included if it is a proxy.
     std::size_t live_proxies() const;
-    // Those not gone; then seeds of which nothing is known. Not this one.
+    // IPs of the control nodes that are not gone, then of seeds that are in no record yet. Without this node.
     std::vector<std::uint32_t> hubs() const;
-    // A whole comparing with another node found none that it knows and we don't. Never false again.
+    // A complete table comparison with another node found no node that this one does not know. Never false
+    // again.
     bool joined() const;
 
-    // Never called from within a function of this class, but from the loop. A record's content or its
-    // standing changed; of this node itself when it had to take a higher life.
+    // The handlers are called from the event loop only, never from within a function of this class.
+    // A record's content or the node's state changed; also for this node when its incarnation was raised.
     std::function<void(const NodeRecord&, Standing)> on_change;
-    // This node holds a higher configuration edition than self().config_edition: each time it is heard.
+    // The node at `ip` holds a newer configuration than self().config_edition; repeated for each message of
+    // it until this node holds it too.
     std::function<void(std::uint32_t ip, std::uint64_t edition)> on_configuration;
 
-    // Hints from connections: an answer has just come from it; it did not answer.
+    // Hints from other connections: the node has just answered, or failed to.
     void reachable(std::uint32_t ip);
     void unreachable(std::uint32_t ip);
 
     const Counts& counts() const { return counts_; }
-    // For the doctor: JSON, one object.
+    // One JSON object for diagnostics.
     std::string status() const;
 
 private:
     using udp = asio::ip::udp;
-    void listen();
-    void take(double at, std::size_t size);  // what is in bytes_, of from_
-    void read_waiting(double at);
+    void receive();
+    void handle_datagram(double at, std::size_t size);  // buffer_, from sender_
+    void drain_socket(double at);
     void send(const gossip::Gossip::Output& out);
-    void log(const Known& known) const;
-    void act(double at);  // carries out what the gossip wants, now
-    void act_soon();      // in the next turn of the loop
+    void log_change(const Known& known) const;
+    void process(double at);     // runs the gossip and carries out its output
+    void schedule_processing();  // in the next turn of the event loop
     void set_timer();
     double now() const;
 
@@ -96,16 +97,16 @@
     udp::socket socket_;
     asio::steady_timer timer_;
     gossip::Gossip gossip_;
-    std::optional<NodeRecord> untold_;  // the own record with changes that have not gone out
-    udp::endpoint from_;
-    std::array<char, 2048> bytes_{};
+    std::optional<NodeRecord> pending_record_;  // the own record, while it has changes not yet passed on
+    udp::endpoint sender_;
+    std::array<char, 2048> buffer_{};
     Counts counts_;
-    double timer_at_ = 1e18;
-    bool running_ = false, acting_soon_ = false, said_joined_ = false;
+    double timer_due_ = 1e18;
+    bool running_ = false, processing_scheduled_ = false, joined_logged_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// "10.1.0.41" of an ip in host order.
+// The dotted form of an IPv4 address in host byte order.
 std::string address_text(std::uint32_t ip);
 
 }  // namespace cobaltshift::gossip_io
--- a/src/gossip_io/status.cpp
+++ b/src/gossip_io/status.cpp
@@ -14,7 +14,7 @@
                   {"role", record.role == registry::NodeRole::hub ? "hub" : "proxy"},
                   {"zone", record.zone},
                   {"standing", kStandings[static_cast<std::size_t>(entry.standing)]},
-                  {"life", record.life},
+                  {"life", record.incarnation},
                   {"seq", record.seq},
                   {"configuration", record.config_edition},
                   {"ready", record.ready},
@@ -28,7 +28,7 @@
     json links = json::array();
     for (const auto& link : gossip.links())
         links.push_back({{"ip", address_text(link.ip)}, {"eager", link.eager}});
-    const auto& core = gossip.counts();
+    const auto& events = gossip.counts();
     const json status{{"ip", address_text(gossip.self().ip)},
                       {"joined", gossip.joined()},
                       {"digest", gossip.registry().digest()},
@@ -42,14 +42,14 @@
                         {"dropped", counts.dropped},
                         {"unsent", counts.unsent}}},
                       {"events",
-                       {{"comparisons", core.syncs},
-                        {"news_twice", core.twice},
-                        {"suspected", core.suspected},
-                        {"gone", core.gone},
-                        {"refuted", core.refuted},
-                        {"lives_raised", core.lives},
-                        {"records_refused", core.refused}}}};
-    // Names come from outside and may be any bytes.
+                       {{"comparisons", events.comparisons},
+                        {"news_twice", events.duplicates},
+                        {"suspected", events.suspected},
+                        {"gone", events.gone},
+                        {"refuted", events.refuted},
+                        {"lives_raised", events.incarnations_raised},
+                        {"records_refused", events.records_refused}}}};
+    // Names come from other processes and may hold arbitrary bytes: invalid UTF-8 is replaced.
     return status.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
--- a/src/gossip_io/status.hpp
+++ b/src/gossip_io/status.hpp
@@ -1,4 +1,4 @@
-// What a node knows of the others as JSON, for the doctor. Entry: status_text(). Called by GossipTransport.
+// A node's view of the membership as JSON, for diagnostics. Entry: status_text(). Used by GossipTransport.
 #pragma once
 
 #include <string>
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 std::uint64_t hash_of(const NodeRecord& record) {
-    const std::uint64_t words[3] = {record.ip, record.life, record.seq};
+    const std::uint64_t words[3] = {record.ip, record.incarnation, record.seq};
     return XXH3_64bits(words, sizeof words);
 }
 }  // namespace
@@ -16,7 +16,7 @@
 bool same_content(const NodeRecord& a, const NodeRecord& b) {
     NodeRecord left = a;
     left.seq = b.seq;
-    left.life = b.life;
+    left.incarnation = b.incarnation;
     if (left.server && b.server) {
         left.server->call_seq = b.server->call_seq;
         if ((left.server->warmup_left_s > 0) == (b.server->warmup_left_s > 0))
@@ -38,15 +38,15 @@
     return found == entries_.end() || found->record.ip != ip ? nullptr : &*found;
 }
 
-void Registry::fold(const Entry& entry) {
+void Registry::toggle_in_digest(const Entry& entry) {
     if (entry.standing == Standing::gone) return;
     const std::uint64_t hash = hash_of(entry.record);
     digest_ ^= hash;
     ranges_[range_of(entry.record.ip)] ^= static_cast<std::uint32_t>(hash);
 }
 
-bool Registry::make_room() {
-    if (entries_.size() < kMostNodes) return true;
+bool Registry::evict_if_full() {
+    if (entries_.size() < kMaxNodes) return true;
     auto oldest = entries_.end();
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry)
         if (entry->standing == Standing::gone &&
@@ -57,67 +57,68 @@
     return true;
 }
 
-Registry::Merge Registry::take(Millis now, const NodeRecord& record) {
+Registry::MergeResult Registry::merge(Millis now, const NodeRecord& record) {
     auto entry = at(record.ip);
     if (entry == entries_.end() || entry->record.ip != record.ip) {
-        if (!make_room()) return {};
+        if (!evict_if_full()) return {};
         entry = entries_.insert(at(record.ip), Entry{record, Standing::alive, now, 0});
-        fold(*entry);
-        return {Taken::newer, true};
+        toggle_in_digest(*entry);
+        return {MergeOutcome::newer, true};
     }
-    if (same_age(entry->record, record)) return {Taken::same, false};
-    if (!newer(record, entry->record)) return {Taken::older, false};
-    const bool changed = entry->standing != Standing::alive || record.life != entry->record.life ||
+    if (same_version(entry->record, record)) return {MergeOutcome::same, false};
+    if (!newer(record, entry->record)) return {MergeOutcome::older, false};
+    const bool changed = entry->standing != Standing::alive ||
+                         record.incarnation != entry->record.incarnation ||
                          !same_content(record, entry->record);
-    fold(*entry);
+    toggle_in_digest(*entry);
     *entry = Entry{record, Standing::alive, now, 0};
-    fold(*entry);
-    return {Taken::newer, changed};
+    toggle_in_digest(*entry);
+    return {MergeOutcome::newer, changed};
 }
 
-bool Registry::stand(Millis now, std::uint32_t ip, Standing standing) {
+bool Registry::set_state(Millis now, std::uint32_t ip, Standing standing) {
     const auto entry = at(ip);
     if (entry == entries_.end() || entry->record.ip != ip || entry->standing == standing) return false;
-    fold(*entry);
+    toggle_in_digest(*entry);
     entry->standing = standing;
     if (standing == Standing::gone) entry->gone_at = now;
-    fold(*entry);
+    toggle_in_digest(*entry);
     return true;
 }
 
-bool Registry::bury(Millis now, const Key& key) {
+bool Registry::mark_gone(Millis now, const Key& key) {
     const auto entry = at(key.ip);
     if (entry == entries_.end() || entry->record.ip != key.ip) return false;
-    const bool changed = stand(now, key.ip, Standing::gone);
-    if (newer(key, entry->record)) {  // gone: in no digest
-        entry->record.life = key.life;
+    const bool changed = set_state(now, key.ip, Standing::gone);
+    if (newer(key, entry->record)) {  // the entry is gone and so in no digest
+        entry->record.incarnation = key.incarnation;
         entry->record.seq = key.seq;
     }
     return changed;
 }
 
-void Registry::drop(std::uint32_t ip) {
+void Registry::remove(std::uint32_t ip) {
     const auto entry = at(ip);
     if (entry == entries_.end() || entry->record.ip != ip) return;
-    fold(*entry);
+    toggle_in_digest(*entry);
     entries_.erase(entry);
 }
 
-std::vector<std::uint32_t> Registry::forget(Millis now) {
-    std::vector<std::uint32_t> forgotten;
+std::vector<std::uint32_t> Registry::purge_gone(Millis now) {
+    std::vector<std::uint32_t> purged;
     std::erase_if(entries_, [&](const Entry& entry) {
-        const bool old = entry.standing == Standing::gone && now - entry.gone_at >= kGoneKept;
-        if (old) forgotten.push_back(entry.record.ip);
+        const bool old = entry.standing == Standing::gone && now - entry.gone_at >= kGoneRetentionMs;
+        if (old) purged.push_back(entry.record.ip);
         return old;
     });
-    return forgotten;
+    return purged;
 }
 
 NodeRecord Registry::handed_on(Millis now, const Entry& entry) {
     NodeRecord record = entry.record;
     if (record.server)
         record.server->warmup_left_s =
-            std::max(0.0, record.server->warmup_left_s - (now - entry.heard) / 1000);
+            std::max(0.0, record.server->warmup_left_s - (now - entry.received_at) / 1000);
     return record;
 }
 
--- a/src/registry/registry.hpp
+++ b/src/registry/registry.hpp
@@ -1,11 +1,12 @@
-// The table of all nodes that one node knows (the registry: registry of servers and proxies), and digests
-// over it by which two copies find where they differ (anti-entropy over hash ranges, a Merkle tree of two
-// levels: Demers et al. 1987). Entry type: Registry. Called by gossip's Gossip. Free of I/O.
+// The membership table: all nodes that one node knows, with digests from which two tables find out where they
+// differ (anti-entropy, Demers et al. 1987; a two-level Merkle tree over hash ranges of the IPs). Entry type:
+// Registry. Used by gossip::Gossip; read by the proxy and the control node. Free of I/O; not thread-safe.
 //
 // Invariants:
-// - Of a node the record of the highest (life, seq) is held; an older one changes nothing.
-// - The digest is over (ip, life, seq) of all entries that are not gone, the own one with them.
-// - Never more than kMostNodes entries: the one that is gone longest makes room, else the new one is refused.
+// - Of each node the record with the highest (incarnation, seq) is kept; older ones change nothing.
+// - The digest covers (ip, incarnation, seq) of every entry that is not gone, this node's own included.
+// - There are never more than kMaxNodes entries: a new one evicts the entry that has been gone longest, and
+//   is refused if none is gone.
 #pragma once
 
 #include <array>
@@ -16,56 +17,59 @@
 
 namespace cobaltshift::registry {
 
-constexpr std::size_t kMostNodes = 4096, kRanges = 64;
-constexpr Millis kGoneKept = 60'000;
+constexpr std::size_t kMaxNodes = 4096, kRanges = 64;
+constexpr Millis kGoneRetentionMs = 60'000;
 
-// What a piece of news is about, and what it is ordered by among those of the same ip.
+// Identifies a version of a node's record, with the state reported for it. Versions of one IP are ordered by
+// (incarnation, seq).
 struct Key {
     std::uint32_t ip = 0;
-    std::uint64_t life = 0, seq = 0;
+    std::uint64_t incarnation = 0, seq = 0;
     Standing standing = Standing::alive;
     bool operator==(const Key&) const = default;
 };
-// Whether a is of a later (life, seq) than b.
+// Whether a has a higher (incarnation, seq) than b.
 template <class A, class B>
 bool newer(const A& a, const B& b) {
-    return a.life != b.life ? a.life > b.life : a.seq > b.seq;
+    return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.seq > b.seq;
 }
 template <class A, class B>
-bool same_age(const A& a, const B& b) {
-    return a.life == b.life && a.seq == b.seq;
+bool same_version(const A& a, const B& b) {
+    return a.incarnation == b.incarnation && a.seq == b.seq;
 }
 
 struct Entry {
     NodeRecord record;
     Standing standing = Standing::alive;
-    Millis heard = 0;    // when the record came; warm-up counts from here
-    Millis gone_at = 0;  // while gone
-    Key key() const { return {record.ip, record.life, record.seq, standing}; }
+    Millis received_at = 0;  // the record; its warm-up counts down from here
+    Millis gone_at = 0;      // while gone: since when
+    Key key() const { return {record.ip, record.incarnation, record.seq, standing}; }
 };
 
 class Registry {
 public:
-    enum class Taken { refused, older, same, newer };
-    struct Merge {
-        Taken taken = Taken::refused;
-        bool changed = false;  // more than seq, call_seq or warm-up, or the standing did
+    enum class MergeOutcome { refused, older, same, newer };
+    struct MergeResult {
+        MergeOutcome outcome = MergeOutcome::refused;
+        bool changed = false;  // the state, the incarnation or what same_content() compares
     };
 
-    // A node of `newer` record is alive.
-    Merge take(Millis now, const NodeRecord& record);
-    // False: not known, or so already.
-    bool stand(Millis now, std::uint32_t ip, Standing standing);
-    // Gone, as told with a (life, seq) that may be newer than the record held. Else as stand().
-    bool bury(Millis now, const Key& key);
-    void drop(std::uint32_t ip);
-    // Entries that are gone for kGoneKept; `now` and then.
-    std::vector<std::uint32_t> forget(Millis now);
+    // Stores the record if it is newer than the one held; its node is then alive. Refused: the table is full.
+    MergeResult merge(Millis now, const NodeRecord& record);
+    // False if the node is unknown or already in this state.
+    bool set_state(Millis now, std::uint32_t ip, Standing standing);
+    // Marks a node gone, as of a (incarnation, seq) that may be newer than the record held: then only a
+    // record newer than that brings it back. Returns as set_state().
+    bool mark_gone(Millis now, const Key& key);
+    void remove(std::uint32_t ip);
+    // Removes the entries that have been gone for kGoneRetentionMs and returns their IPs. Called
+    // periodically.
+    std::vector<std::uint32_t> purge_gone(Millis now);
 
     const Entry* find(std::uint32_t ip) const;
-    // By ip.
+    // Sorted by IP.
     const std::vector<Entry>& entries() const { return entries_; }
-    // As it is to be handed on now.
+    // The entry's record with its remaining warm-up as of now, as it is sent to others.
     static NodeRecord handed_on(Millis now, const Entry& entry);
 
     std::uint64_t digest() const { return digest_; }
@@ -74,16 +78,16 @@
 
 private:
     std::vector<Entry>::iterator at(std::uint32_t ip);
-    void fold(const Entry& entry);  // in, and out again
-    bool make_room();
+    void toggle_in_digest(const Entry& entry);  // adds it or, the second time, removes it
+    bool evict_if_full();
 
     std::vector<Entry> entries_;
     std::array<std::uint32_t, kRanges> ranges_{};
     std::uint64_t digest_ = 0;
 };
 
-// Whether they differ in what a reader acts on: not in life's or record's number, call_seq, or what is left
-// of a warm-up that both have or both have not.
+// Whether the records are equal in what their readers act on. Ignores incarnation, seq, call_seq and, if both
+// servers are warming up, how much of their warm-ups is left.
 bool same_content(const NodeRecord& a, const NodeRecord& b);
 
 }  // namespace cobaltshift::registry
--- a/tests/mesh/failure_detector_test.cpp
+++ b/tests/mesh/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-// The failure detector by itself: one FailureDetector, its answers given by hand.
+// FailureDetector alone: the test answers its probes.
 #include "failure_detector/failure_detector.hpp"
 
 #include <doctest/doctest.h>
@@ -14,40 +14,40 @@
 
 constexpr std::uint32_t kMembers = 20;
 
-struct Rig {
-    FailureDetector watch{failure_detector::Settings{}, 1};
+struct Harness {
+    FailureDetector detector{failure_detector::Settings{}, 1};
     double now = 1000;
     std::map<std::uint32_t, std::size_t> probes;
-    std::vector<failure_detector::FailureDetector::Ask> asks;
+    std::vector<failure_detector::FailureDetector::IndirectProbe> indirect_probes;
     std::vector<std::uint32_t> suspected, gone, cleared;
-    std::vector<std::uint32_t> silent;  // who don't answer
-    bool deaf = false;                  // no answer comes
+    std::vector<std::uint32_t> silent;  // members that do not answer
+    bool isolated = false;              // no answer arrives
 
-    Rig() {
-        for (std::uint32_t ip = 1; ip <= kMembers; ++ip) watch.set(now, ip, Standing::alive);
+    Harness() {
+        for (std::uint32_t ip = 1; ip <= kMembers; ++ip) detector.set(now, ip, Standing::alive);
     }
-    void carry_out(FailureDetector::Output out) {
-        asks.insert(asks.end(), out.asks.begin(), out.asks.end());
+    void apply(FailureDetector::Output out) {
+        indirect_probes.insert(indirect_probes.end(), out.indirect_probes.begin(), out.indirect_probes.end());
         suspected.insert(suspected.end(), out.suspected.begin(), out.suspected.end());
         gone.insert(gone.end(), out.gone.begin(), out.gone.end());
         cleared.insert(cleared.end(), out.cleared.begin(), out.cleared.end());
         for (const auto& probe : out.probes) {
             ++probes[probe.to];
-            if (deaf || std::count(silent.begin(), silent.end(), probe.to)) continue;
+            if (isolated || std::count(silent.begin(), silent.end(), probe.to)) continue;
             answered(probe.to);
         }
     }
     void answered(std::uint32_t ip) {
         FailureDetector::Output out;
-        watch.answered(now, ip, out);
-        carry_out(out);
+        detector.on_answer(now, ip, out);
+        apply(out);
     }
     void run(double until) {
-        while (watch.due() < until) {
-            now = std::max(now, watch.due());
+        while (detector.due() < until) {
+            now = std::max(now, detector.due());
             FailureDetector::Output out;
-            watch.tick(now, out);
-            carry_out(out);
+            detector.tick(now, out);
+            apply(out);
         }
         now = until;
     }
@@ -55,141 +55,142 @@
 
 }  // namespace
 
-TEST_CASE("each member is probed once a round, two a second") {
-    Rig rig;
-    rig.run(rig.now + 10'000);
-    std::size_t sum = 0;
-    for (const auto& [ip, times] : rig.probes) {
-        sum += times;
-        CHECK(times <= 2);
+TEST_CASE("failure detector: each member is probed once per round, at two probes per second") {
+    Harness harness;
+    harness.run(harness.now + 10'000);
+    std::size_t total = 0;
+    for (const auto& [ip, count] : harness.probes) {
+        total += count;
+        CHECK(count <= 2);
     }
-    CHECK(rig.probes.size() == kMembers);
-    CHECK(sum >= 19);
-    CHECK(sum <= 22);
-    CHECK(rig.asks.empty());
-    CHECK(rig.suspected.empty());
+    CHECK(harness.probes.size() == kMembers);
+    CHECK(total >= 19);
+    CHECK(total <= 22);
+    CHECK(harness.indirect_probes.empty());
+    CHECK(harness.suspected.empty());
 }
 
-TEST_CASE("who does not answer is asked for by three others, suspect, asked again, and gone") {
-    Rig rig;
-    rig.silent = {7};
-    while (rig.asks.empty()) rig.run(rig.now + 10);
-    CHECK(rig.asks.size() == 3);
-    for (const auto& ask : rig.asks) {
-        CHECK(ask.target == 7);
-        CHECK(ask.helper != 7);
+TEST_CASE("failure detector: an unresponsive member is probed by three others, then suspect, then gone") {
+    Harness harness;
+    harness.silent = {7};
+    while (harness.indirect_probes.empty()) harness.run(harness.now + 10);
+    CHECK(harness.indirect_probes.size() == 3);
+    for (const auto& request : harness.indirect_probes) {
+        CHECK(request.target == 7);
+        CHECK(request.helper != 7);
     }
-    CHECK(rig.asks[0].helper != rig.asks[1].helper);
-    CHECK(rig.asks[0].helper != rig.asks[2].helper);
-    CHECK(rig.asks[1].helper != rig.asks[2].helper);
-    CHECK(rig.suspected.empty());
-    rig.run(rig.now + 260);
-    CHECK(rig.suspected == std::vector<std::uint32_t>{7});
-    CHECK(rig.gone.empty());
-    rig.run(rig.now + 1000);
-    CHECK(rig.gone.empty());
-    rig.run(rig.now + 250);
-    CHECK(rig.gone == std::vector<std::uint32_t>{7});
-    const std::size_t times = rig.probes[7];
-    CHECK(times >= 5);  // first, once more, and while suspect
-    rig.run(rig.now + 8000);
-    CHECK(rig.probes[7] > times + 2);  // now and then, as long as it is remembered
-    CHECK(rig.probes[7] < times + 6);
+    CHECK(harness.indirect_probes[0].helper != harness.indirect_probes[1].helper);
+    CHECK(harness.indirect_probes[0].helper != harness.indirect_probes[2].helper);
+    CHECK(harness.indirect_probes[1].helper != harness.indirect_probes[2].helper);
+    CHECK(harness.suspected.empty());
+    harness.run(harness.now + 260);
+    CHECK(harness.suspected == std::vector<std::uint32_t>{7});
+    CHECK(harness.gone.empty());
+    harness.run(harness.now + 1000);
+    CHECK(harness.gone.empty());
+    harness.run(harness.now + 250);
+    CHECK(harness.gone == std::vector<std::uint32_t>{7});
+    const std::size_t count = harness.probes[7];
+    CHECK(count >= 5);  // direct, the second direct one, and while suspect
+    harness.run(harness.now + 8000);
+    CHECK(harness.probes[7] > count + 2);  // periodically, as long as it is kept
+    CHECK(harness.probes[7] < count + 6);
 }
 
-TEST_CASE("an answer of any kind clears a suspicion") {
-    Rig rig;
-    rig.silent = {7};
-    while (rig.suspected.empty()) rig.run(rig.now + 10);
-    rig.answered(7);
-    rig.silent = {};
-    CHECK(rig.cleared == std::vector<std::uint32_t>{7});
-    rig.run(rig.now + 5000);
-    CHECK(rig.gone.empty());
+TEST_CASE("failure detector: any answer clears a suspicion") {
+    Harness harness;
+    harness.silent = {7};
+    while (harness.suspected.empty()) harness.run(harness.now + 10);
+    harness.answered(7);
+    harness.silent = {};
+    CHECK(harness.cleared == std::vector<std::uint32_t>{7});
+    harness.run(harness.now + 5000);
+    CHECK(harness.gone.empty());
 }
 
-TEST_CASE("a suspicion heard of runs longer than one's own") {
-    Rig rig;
-    rig.watch.set(rig.now, 7, Standing::suspect);
-    rig.silent = {7};
-    rig.run(rig.now + 1800);
-    CHECK(rig.gone.empty());
-    rig.run(rig.now + 200);
-    CHECK(rig.gone == std::vector<std::uint32_t>{7});
+TEST_CASE("failure detector: a relayed suspicion lasts longer than an own one") {
+    Harness harness;
+    harness.detector.set(harness.now, 7, Standing::suspect);
+    harness.silent = {7};
+    harness.run(harness.now + 1800);
+    CHECK(harness.gone.empty());
+    harness.run(harness.now + 200);
+    CHECK(harness.gone == std::vector<std::uint32_t>{7});
 }
 
-TEST_CASE("who hears nobody declares nobody gone, and is itself at once when it hears again") {
-    Rig rig;
-    rig.run(rig.now + 2000);
-    rig.deaf = true;
-    rig.run(rig.now + 30'000);
-    CHECK(rig.gone.empty());
-    CHECK(rig.suspected.size() <= 3);
-    CHECK(rig.watch.deaf());
-    rig.deaf = false;
-    rig.run(rig.now + 600);
-    CHECK_FALSE(rig.watch.deaf());
-    rig.run(rig.now + 5000);
-    CHECK(rig.gone.empty());
-    rig.silent = {3};
-    rig.run(rig.now + 20'000);
-    CHECK(rig.gone == std::vector<std::uint32_t>{3});
+TEST_CASE("failure detector: an isolated node declares no member gone, and recovers with the first answers") {
+    Harness harness;
+    harness.run(harness.now + 2000);
+    harness.isolated = true;
+    harness.run(harness.now + 30'000);
+    CHECK(harness.gone.empty());
+    CHECK(harness.suspected.size() <= 3);
+    CHECK(harness.detector.isolated());
+    harness.isolated = false;
+    harness.run(harness.now + 600);
+    CHECK_FALSE(harness.detector.isolated());
+    harness.run(harness.now + 5000);
+    CHECK(harness.gone.empty());
+    harness.silent = {3};
+    harness.run(harness.now + 20'000);
+    CHECK(harness.gone == std::vector<std::uint32_t>{3});
 }
 
-TEST_CASE("a frozen one starts its suspicions anew") {
-    Rig rig;
-    rig.silent = {7};
-    while (rig.suspected.empty()) rig.run(rig.now + 10);
-    rig.run(rig.now + 700);  // others have answered since
-    rig.now += 10'000;       // nothing of it was seen
+// A process that was frozen has missed the answers sent meanwhile, so its suspicions prove nothing.
+TEST_CASE("failure detector: suspicions restart after the process was frozen") {
+    Harness harness;
+    harness.silent = {7};
+    while (harness.suspected.empty()) harness.run(harness.now + 10);
+    harness.run(harness.now + 700);  // other members have answered since the suspicion began
+    harness.now += 10'000;           // frozen
     FailureDetector::Output out;
-    rig.watch.tick(rig.now, out);
+    harness.detector.tick(harness.now, out);
     CHECK(out.gone.empty());
-    rig.carry_out(out);
-    rig.run(rig.now + 1000);
-    CHECK(rig.gone.empty());
-    rig.run(rig.now + 600);
-    CHECK(rig.gone == std::vector<std::uint32_t>{7});
+    harness.apply(out);
+    harness.run(harness.now + 1000);
+    CHECK(harness.gone.empty());
+    harness.run(harness.now + 600);
+    CHECK(harness.gone == std::vector<std::uint32_t>{7});
 }
 
-TEST_CASE("a doubt is a probe now, but not twice at once") {
-    Rig rig;
-    rig.run(rig.now + 100);
-    rig.silent = {9};
-    const std::size_t before = rig.probes[9];
+TEST_CASE("failure detector: probe_now() probes at once, but not a member with a pending probe") {
+    Harness harness;
+    harness.run(harness.now + 100);
+    harness.silent = {9};
+    const std::size_t before = harness.probes[9];
     for (int i = 0; i < 3; ++i) {
         FailureDetector::Output out;
-        rig.watch.doubt(rig.now, 9, out);
-        rig.carry_out(out);
+        harness.detector.probe_now(harness.now, 9, out);
+        harness.apply(out);
     }
-    CHECK(rig.probes[9] == before + 1);
-    rig.run(rig.now + 420);
-    CHECK(rig.suspected == std::vector<std::uint32_t>{9});
+    CHECK(harness.probes[9] == before + 1);
+    harness.run(harness.now + 420);
+    CHECK(harness.suspected == std::vector<std::uint32_t>{9});
 }
 
-TEST_CASE("members may go at any moment") {
-    Rig rig;
-    rig.silent = {7, 8};
-    rig.run(rig.now + 3000);
-    for (std::uint32_t ip = 1; ip <= kMembers; ++ip) rig.watch.remove(ip);
-    rig.probes.clear();
-    rig.run(rig.now + 3000);
-    CHECK(rig.probes.empty());
-    rig.watch.set(rig.now, 5, Standing::alive);
-    rig.run(rig.now + 1100);
-    CHECK(rig.probes[5] >= 2);
+TEST_CASE("failure detector: members may be removed at any time") {
+    Harness harness;
+    harness.silent = {7, 8};
+    harness.run(harness.now + 3000);
+    for (std::uint32_t ip = 1; ip <= kMembers; ++ip) harness.detector.remove(ip);
+    harness.probes.clear();
+    harness.run(harness.now + 3000);
+    CHECK(harness.probes.empty());
+    harness.detector.set(harness.now, 5, Standing::alive);
+    harness.run(harness.now + 1100);
+    CHECK(harness.probes[5] >= 2);
 }
 
-TEST_CASE("an early probe takes the place of the next") {
-    Rig rig;
-    std::size_t sum = 0;
-    for (int i = 0; i < 200; ++i) {  // woken each 50 ms
-        rig.run(rig.now + 50);
+TEST_CASE("failure detector: early probes replace periodic ones and do not raise the rate") {
+    Harness harness;
+    std::size_t total = 0;
+    for (int i = 0; i < 200; ++i) {  // a wake-up every 50 ms
+        harness.run(harness.now + 50);
         FailureDetector::Output out;
-        rig.watch.early(rig.now, out);
-        rig.carry_out(out);
+        harness.detector.probe_early(harness.now, out);
+        harness.apply(out);
     }
-    for (const auto& [ip, times] : rig.probes) sum += times;
-    CHECK(sum >= 19);
-    CHECK(sum <= 22);
+    for (const auto& [ip, count] : harness.probes) total += count;
+    CHECK(total >= 19);
+    CHECK(total <= 22);
 }
--- a/tests/mesh/gossip_world.hpp
+++ b/tests/mesh/gossip_world.hpp
@@ -1,5 +1,6 @@
-// A little network in virtual time for tests of Gossip: loss, delay, cuts of either way, freezes, kills and
-// restarts. All is drawn from one seed. Datagrams go as bytes, through encode() and decode().
+// A simulated network in virtual time for tests of Gossip: loss, delay, partitions in either direction,
+// freezes, kills and restarts, all from one seed. Datagrams are carried as bytes, through encode() and
+// decode().
 #pragma once
 
 #include <algorithm>
@@ -23,17 +24,17 @@
 using registry::NodeRecord;
 using registry::Standing;
 
-class NewsWorld {
+class GossipWorld {
 public:
     struct Node {
-        std::unique_ptr<Gossip> gossip;  // none: not running
-        NodeRecord record;               // as it starts
+        std::unique_ptr<Gossip> gossip;  // null: not running
+        NodeRecord record;               // at its start
         bool frozen = false;
-        std::vector<std::string> held;  // what came while it was frozen
-        std::uint64_t sent = 0, bytes = 0, lives = 0, wakes = 0;
+        std::vector<std::string> queued;  // datagrams that arrived while frozen
+        std::uint64_t sent = 0, bytes = 0, starts = 0, wakes = 0;
     };
 
-    NewsWorld(std::size_t nodes, std::uint64_t seed, double loss = 0) : loss(loss), random_(seed) {
+    GossipWorld(std::size_t nodes, std::uint64_t seed, double loss = 0) : loss(loss), random_(seed) {
         for (std::size_t i = 0; i < nodes; ++i) {
             NodeRecord record;
             record.ip = ip_of(i);
@@ -46,58 +47,58 @@
     }
 
     static std::uint32_t ip_of(std::size_t i) { return 0x0a010001 + static_cast<std::uint32_t>(i) * 7; }
-    std::size_t place(std::uint32_t ip) const { return (ip - 0x0a010001) / 7; }
+    std::size_t index_of(std::uint32_t ip) const { return (ip - 0x0a010001) / 7; }
 
     void start(std::size_t i) {
         gossip::GossipSettings settings;
-        for (std::size_t hub = 0; hub < std::min<std::size_t>(3, nodes.size()); ++hub)
-            if (hub != i) settings.seeds.push_back(ip_of(hub));
+        for (std::size_t seed = 0; seed < std::min<std::size_t>(3, nodes.size()); ++seed)
+            if (seed != i) settings.seeds.push_back(ip_of(seed));
         settings.seed = 1 + random_.below(std::size_t{1} << 60);
         nodes[i].gossip = std::make_unique<Gossip>(settings, nodes[i].record);
-        nodes[i].held.clear();
+        nodes[i].queued.clear();
         nodes[i].frozen = false;
-        ++nodes[i].lives;
+        ++nodes[i].starts;
         nodes[i].gossip->start(now);
-        after(i);
+        process_output(i);
     }
     void start_all() {
         for (std::size_t i = 0; i < nodes.size(); ++i) start(i);
     }
     void kill(std::size_t i) {
         nodes[i].gossip.reset();
-        nodes[i].held.clear();
+        nodes[i].queued.clear();
     }
     void leave(std::size_t i) {
         nodes[i].gossip->leave(now);
-        after(i);
+        process_output(i);
         kill(i);
     }
     void reachable(std::size_t i, std::size_t other) {
         nodes[i].gossip->reachable(now, ip_of(other));
-        after(i);
+        process_output(i);
     }
-    void hear(std::size_t i, const Message& message) {
+    void receive(std::size_t i, const Message& message) {
         nodes[i].gossip->heard(now, message);
-        after(i);
+        process_output(i);
     }
     void freeze(std::size_t i) { nodes[i].frozen = true; }
     void thaw(std::size_t i) {
         nodes[i].frozen = false;
-        for (const auto& bytes : std::exchange(nodes[i].held, {})) deliver(i, bytes);
-        if (nodes[i].gossip) nodes[i].gossip->tick(now), after(i);
+        for (const auto& bytes : std::exchange(nodes[i].queued, {})) deliver(i, bytes);
+        if (nodes[i].gossip) nodes[i].gossip->tick(now), process_output(i);
     }
-    void tell(std::size_t i, auto change) {
+    void update(std::size_t i, auto change) {
         NodeRecord record = nodes[i].gossip->self();
         change(record);
         nodes[i].gossip->tell(now, record);
-        after(i);
+        process_output(i);
     }
-    // No datagrams from a to b while `cut`.
+    // Drops datagrams from a to b while `cut`.
     void cut(std::size_t a, std::size_t b, bool cut) {
         cut ? (void)cuts_.insert({a, b}) : (void)cuts_.erase({a, b});
     }
-    template <class In>
-    void cut_apart(In in_first, bool on, bool both = true) {
+    template <class InFirst>
+    void partition(InFirst in_first, bool on, bool both = true) {
         for (std::size_t a = 0; a < nodes.size(); ++a)
             for (std::size_t b = 0; b < nodes.size(); ++b)
                 if (in_first(a) && !in_first(b)) {
@@ -109,34 +110,34 @@
     void run(Millis until) {
         run_until(until, [] { return false; });
     }
-    // The moment at which it held first; none: not by `until`. It is looked at each 10 ms.
-    template <class Holds>
-    std::optional<Millis> run_until(Millis until, Holds holds) {
-        for (Millis look = now; now <= until;) {
-            if (now >= look) {
-                if (holds()) return now;
-                look = now + 10;
+    // When the condition first held; none if not by `until`. It is checked every 10 ms.
+    template <class Condition>
+    std::optional<Millis> run_until(Millis until, Condition condition) {
+        for (Millis next_check = now; now <= until;) {
+            if (now >= next_check) {
+                if (condition()) return now;
+                next_check = now + 10;
             }
-            Millis next = std::min(until, look);
+            Millis next = std::min(until, next_check);
             for (const Node& node : nodes)
                 if (node.gossip && !node.frozen) next = std::min(next, node.gossip->due());
-            if (!flying_.empty()) next = std::min(next, flying_.top().at);
+            if (!in_flight_.empty()) next = std::min(next, in_flight_.top().at);
             if (next >= until) {
                 now = until;
-                if (holds()) return now;
+                if (condition()) return now;
                 return std::nullopt;
             }
             now = std::max(now, next);
-            while (!flying_.empty() && flying_.top().at <= now) {
-                const Flying flying = flying_.top();
-                flying_.pop();
-                deliver(flying.to, flying.bytes);
+            while (!in_flight_.empty() && in_flight_.top().at <= now) {
+                const InFlight datagram = in_flight_.top();
+                in_flight_.pop();
+                deliver(datagram.to, datagram.bytes);
             }
             for (std::size_t i = 0; i < nodes.size(); ++i)
                 if (nodes[i].gossip && !nodes[i].frozen && nodes[i].gossip->due() <= now) {
                     ++nodes[i].wakes;
                     nodes[i].gossip->tick(now);
-                    after(i);
+                    process_output(i);
                 }
         }
         return std::nullopt;
@@ -146,77 +147,78 @@
         const auto* entry = nodes[at].gossip->registry().find(ip_of(of));
         return entry ? entry->standing : Standing::gone;
     }
-    bool runs(std::size_t i) const { return nodes[i].gossip && !nodes[i].frozen; }
-    // All that run hold all that run alive, with their newest record; and all others gone.
-    bool whole() const {
-        std::optional<std::uint64_t> digest;  // quick where it isn't
+    bool running(std::size_t i) const { return nodes[i].gossip && !nodes[i].frozen; }
+    // Whether all running nodes see all running nodes alive, with their newest records, and all others gone.
+    bool converged() const {
+        std::optional<std::uint64_t> digest;  // a cheap test first
         for (std::size_t a = 0; a < nodes.size(); ++a)
-            if (runs(a) &&
+            if (running(a) &&
                 digest.value_or(nodes[a].gossip->registry().digest()) != nodes[a].gossip->registry().digest())
                 return false;
-            else if (runs(a))
+            else if (running(a))
                 digest = nodes[a].gossip->registry().digest();
         for (std::size_t a = 0; a < nodes.size(); ++a) {
-            if (!runs(a)) continue;
+            if (!running(a)) continue;
             for (std::size_t b = 0; b < nodes.size(); ++b) {
                 const auto* entry = nodes[a].gossip->registry().find(ip_of(b));
-                if (!runs(b)) {
+                if (!running(b)) {
                     if (entry && entry->standing != Standing::gone) return false;
                 } else if (!entry || entry->standing != Standing::alive ||
-                           !registry::same_age(entry->record, nodes[b].gossip->self())) {
+                           !registry::same_version(entry->record, nodes[b].gossip->self())) {
                     return false;
                 }
             }
         }
         return true;
     }
-    // All that run hold the newest record of it.
-    bool all_know(std::size_t of) const {
+    // Whether all running nodes hold the node's newest record.
+    bool all_current(std::size_t of) const {
         for (std::size_t a = 0; a < nodes.size(); ++a) {
-            if (!runs(a)) continue;
+            if (!running(a)) continue;
             const auto* entry = nodes[a].gossip->registry().find(ip_of(of));
-            if (!entry || !registry::same_age(entry->record, nodes[of].gossip->self())) return false;
+            if (!entry || !registry::same_version(entry->record, nodes[of].gossip->self())) return false;
         }
         return true;
     }
-    bool all_hold(std::size_t of, Standing standing) const {
+    bool all_see(std::size_t of, Standing standing) const {
         for (std::size_t a = 0; a < nodes.size(); ++a)
-            if (runs(a) && a != of && this->standing(a, of) != standing) return false;
+            if (running(a) && a != of && this->standing(a, of) != standing) return false;
         return true;
     }
     std::uint64_t sent() const {
-        std::uint64_t sum = 0;
-        for (const Node& node : nodes) sum += node.sent;
-        return sum;
+        std::uint64_t total = 0;
+        for (const Node& node : nodes) total += node.sent;
+        return total;
     }
     std::uint64_t bytes() const {
-        std::uint64_t sum = 0;
-        for (const Node& node : nodes) sum += node.bytes;
-        return sum;
+        std::uint64_t total = 0;
+        for (const Node& node : nodes) total += node.bytes;
+        return total;
     }
     std::uint64_t wakes() const {
-        std::uint64_t sum = 0;
-        for (const Node& node : nodes) sum += node.wakes;
-        return sum;
+        std::uint64_t total = 0;
+        for (const Node& node : nodes) total += node.wakes;
+        return total;
     }
-    // Called with each change of a standing or content that a node hears of.
-    std::function<void(std::size_t at, std::uint32_t ip)> changed;
-    std::function<void(std::size_t at, std::uint64_t edition)> edition;  // newer than its own, as it is told
+    // Called for each change of a node's state or record content that another node learns.
+    std::function<void(std::size_t at, std::uint32_t ip)> on_change;
+    // Called for each newer configuration edition that a node hears of.
+    std::function<void(std::size_t at, std::uint64_t edition)> on_edition;
 
     std::vector<Node> nodes;
     Millis now = 1000;
     double loss = 0;
-    Millis least = 1, most = 8;  // delay
-    std::size_t largest = 0;     // datagram
-    std::size_t torn = 0;        // that decode() refused
+    Millis delay_min = 1, delay_max = 8;
+    std::size_t largest_datagram = 0;  // bytes
+    std::size_t undecodable = 0;       // datagrams that decode() refused
 
 private:
-    struct Flying {
+    struct InFlight {
         Millis at;
         std::uint64_t number;
         std::size_t to;
         std::string bytes;
-        bool operator<(const Flying& other) const {
+        bool operator<(const InFlight& other) const {
             return at != other.at ? at > other.at : number > other.number;
         }
     };
@@ -225,37 +227,38 @@
         Node& node = nodes[to];
         if (!node.gossip) return;
         if (node.frozen) {
-            if (node.held.size() < 200) node.held.push_back(bytes);
+            if (node.queued.size() < 200) node.queued.push_back(bytes);
             return;
         }
         ++node.wakes;
         const auto message = gossip::decode(bytes);
         if (!message) {
-            ++torn;
+            ++undecodable;
             return;
         }
         node.gossip->heard(now, *message);
-        after(to);
+        process_output(to);
     }
-    void after(std::size_t i) {
+    void process_output(std::size_t i) {
         auto out = nodes[i].gossip->take();
         for (const auto& datagram : out.datagrams) {
             std::string bytes = gossip::encode(datagram.message);
             ++nodes[i].sent;
             nodes[i].bytes += bytes.size();
-            largest = std::max(largest, bytes.size());
-            const std::size_t to = place(datagram.to);
+            largest_datagram = std::max(largest_datagram, bytes.size());
+            const std::size_t to = index_of(datagram.to);
             if (random_.unit() < loss || cuts_.contains({i, to})) continue;
-            flying_.push({now + least + (most - least) * random_.unit(), ++number_, to, std::move(bytes)});
+            in_flight_.push({now + delay_min + (delay_max - delay_min) * random_.unit(), ++number_, to,
+                             std::move(bytes)});
         }
-        if (changed)
-            for (const std::uint32_t ip : out.changed) changed(i, ip);
-        if (edition)
-            for (const auto& told : out.editions) edition(i, told.config_edition);
+        if (on_change)
+            for (const std::uint32_t ip : out.changed) on_change(i, ip);
+        if (on_edition)
+            for (const auto& newer : out.editions) on_edition(i, newer.config_edition);
     }
 
     kelplb::Random random_;
-    std::priority_queue<Flying> flying_;
+    std::priority_queue<InFlight> in_flight_;
     std::set<std::pair<std::size_t, std::size_t>> cuts_;
     std::uint64_t number_ = 0;
 };
