--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,5 +1,6 @@
-// The sidecar's only clock: Unix milliseconds, so that discovery's born_ms compares, but driven by the steady
-// clock, so that a step of the system's time can neither run time backwards nor fire deadlines early.
+// The sidecar's only clock. It returns Unix milliseconds, so that its times compare with discovery's born_ms,
+// but advances with the steady clock: a step of the system clock neither moves time backwards nor fires
+// deadlines early.
 #pragma once
 
 #include <chrono>
@@ -13,6 +14,7 @@
     using Steady = std::chrono::steady_clock;
 
     Millis now() const { return unix_start_ + Duration(Steady::now() - start_).count(); }
+    // The steady-clock time of `at`, rounded up, for timers.
     Steady::time_point point(Millis at) const {
         return start_ + std::chrono::ceil<Steady::duration>(Duration(at - unix_start_));
     }
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -19,7 +19,7 @@
     throw ConfigError("configuration: " + field + " " + what);
 }
 
-// A place in the JSON that knows its own path, so that a complaint can name it.
+// A JSON value with its path, which error messages name.
 class Field {
 public:
     Field(const json* value, std::string path) : value_(value), path_(std::move(path)) {}
@@ -47,13 +47,13 @@
         if (!std::isfinite(n)) fail(path_, "is not a finite number");
         return n;
     }
-    double amount() const {
+    double non_negative() const {
         const double n = number();
         if (n < 0) fail(path_, "is negative");
         return n;
     }
     template <class T = std::uint32_t>
-    T whole() const {
+    T whole_number() const {
         if (!value_->is_number_integer() ||
             (!value_->is_number_unsigned() && value_->get<std::int64_t>() < 0))
             fail(path_, "is not a whole number");
@@ -70,7 +70,7 @@
         return parse<Protocol>(text(), path_);
     }
     template <class T>
-    T named(const std::vector<std::pair<const char*, T>>& names) const {
+    T one_of(const std::vector<std::pair<const char*, T>>& names) const {
         const std::string word = text();
         for (const auto& [name, value] : names)
             if (word == name) return value;
@@ -89,14 +89,14 @@
         const auto address = boost::asio::ip::make_address(host, ec);
         const char* end = text.data() + text.size();
         if (ec || colon == std::string::npos || colon + 1 == text.size() ||
-            !whole_port(text.data() + colon + 1, end, port))
+            !parse_port(text.data() + colon + 1, end, port))
             fail(path, "is not address:port");
         return {address, port};
     }
 
 private:
-    // A number past the last port reads to its end all the same.
-    static bool whole_port(const char* from, const char* end, std::uint16_t& port) {
+    // Requires the whole text to be a port; from_chars consumes the digits of an out-of-range number too.
+    static bool parse_port(const char* from, const char* end, std::uint16_t& port) {
         const auto read = std::from_chars(from, end, port);
         return read.ec == std::errc() && read.ptr == end;
     }
@@ -112,17 +112,17 @@
 
 HostList hosts_at(const Field& field) {
     HostList list;
-    list.seq = field["seq"].whole<std::uint64_t>();
+    list.seq = field["seq"].whole_number<std::uint64_t>();
     list.whole = field["whole"].flag();
     for (const Field& item : field["hosts"].items()) {
         Host h;
         h.name = item["host"].text();
-        h.phase = item["health"].named<Phase>(
+        h.phase = item["health"].one_of<Phase>(
             {{"SERVING", Phase::on}, {"DRAINING", Phase::fading}, {"DELETED", Phase::off}});
-        // What is gone needs no address any more.
+        // A deleted server needs no address.
         if (h.phase != Phase::off || item.has("dial")) h.dial = item["dial"].endpoint<tcp>();
         if (item.has("site")) h.zone = item["site"].text();
-        if (item.has("block")) h.cell = item["block"].whole();
+        if (item.has("block")) h.cell = item["block"].whole_number();
         if (item.has("born_ms")) h.born = item["born_ms"].number();
         if (item.has("share")) h.units = item["share"].number();
         list.hosts.push_back(std::move(h));
@@ -139,55 +139,55 @@
     for (const Field& item : root["classes"].items()) {
         RequestClass r;
         c.classes.push_back(item["name"].text());
-        r.effect = item["effect"].named<Effect>(
+        r.effect = item["effect"].one_of<Effect>(
             {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
         if (item.has("dedup-scope"))
-            r.dedup_scope = item["dedup-scope"].named<DedupScope>(
+            r.dedup_scope = item["dedup-scope"].one_of<DedupScope>(
                 {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
-        if (item.has("dedup-window-ms")) r.dedup_window = item["dedup-window-ms"].amount();
-        r.aim = item["on-time-ms"].amount();
-        if (item.has("aim-stretch")) r.aim_stretch = item["aim-stretch"].amount();
-        if (item.has("credit")) r.worth = item["credit"].amount();
-        if (item.has("late-value")) r.late_worth = item["late-value"].amount();
-        const double give_up = item.has("give-up-ms") ? item["give-up-ms"].amount() : 3000;
+        if (item.has("dedup-window-ms")) r.dedup_window = item["dedup-window-ms"].non_negative();
+        r.aim = item["on-time-ms"].non_negative();
+        if (item.has("aim-stretch")) r.aim_stretch = item["aim-stretch"].non_negative();
+        if (item.has("credit")) r.worth = item["credit"].non_negative();
+        if (item.has("late-value")) r.late_worth = item["late-value"].non_negative();
+        const double give_up = item.has("give-up-ms") ? item["give-up-ms"].non_negative() : 3000;
         c.longest_deadline = std::max(c.longest_deadline, give_up);
         s.classes.push_back(r);
     }
     if (root.has("membership-mode"))
-        s.list_on_request = root["membership-mode"].named<bool>({{"pushed", false}, {"on_request", true}});
-    if (root.has("siblings")) s.siblings = root["siblings"].whole();
-    if (root.has("my-number")) s.my_number = root["my-number"].whole();
+        s.list_on_request = root["membership-mode"].one_of<bool>({{"pushed", false}, {"on_request", true}});
+    if (root.has("siblings")) s.siblings = root["siblings"].whole_number();
+    if (root.has("my-number")) s.my_number = root["my-number"].whole_number();
     s.may_cancel = false;
     if (root.has("limits")) {
         const Field limits = root["limits"];
-        if (limits.has("max-attempts")) s.max_attempts = limits["max-attempts"].whole();
+        if (limits.has("max-attempts")) s.max_attempts = limits["max-attempts"].whole_number();
         if (limits.has("parallel-tries")) s.parallel_tries = limits["parallel-tries"].flag();
         if (limits.has("may-cancel")) s.may_cancel = limits["may-cancel"].flag();
         if (limits.has("may-probe")) s.may_probe = limits["may-probe"].flag();
         if (limits.has("may-tell")) s.may_tell = limits["may-tell"].flag();
-        if (limits.has("connect-timeout-ms")) c.connect_timeout = limits["connect-timeout-ms"].amount();
-        if (limits.has("idle-close-ms")) c.idle_close = limits["idle-close-ms"].amount();
-        if (limits.has("max-retry-after-ms")) c.max_retry_after = limits["max-retry-after-ms"].amount();
+        if (limits.has("connect-timeout-ms")) c.connect_timeout = limits["connect-timeout-ms"].non_negative();
+        if (limits.has("idle-close-ms")) c.idle_close = limits["idle-close-ms"].non_negative();
+        if (limits.has("max-retry-after-ms")) c.max_retry_after = limits["max-retry-after-ms"].non_negative();
     }
     if (root.has("rules")) {
         const Field rules = root["rules"];
-        if (rules.has("cold-from")) s.cold_from = rules["cold-from"].amount();
-        if (rules.has("fall-multiple")) s.fall_multiple = rules["fall-multiple"].amount();
-        if (rules.has("warm-within-ms")) s.warm_within = rules["warm-within-ms"].amount();
+        if (rules.has("cold-from")) s.cold_from = rules["cold-from"].non_negative();
+        if (rules.has("fall-multiple")) s.fall_multiple = rules["fall-multiple"].non_negative();
+        if (rules.has("warm-within-ms")) s.warm_within = rules["warm-within-ms"].non_negative();
     }
     if (root.has("fees")) {
         const Field fees = root["fees"];
-        if (fees.has("cross-zone")) s.fees.cross_zone = fees["cross-zone"].amount();
-        if (fees.has("peer")) s.fees.peer = fees["peer"].amount();
-        if (fees.has("probe")) s.fees.probe = fees["probe"].amount();
-        if (fees.has("handshake")) s.fees.handshake = fees["handshake"].amount();
+        if (fees.has("cross-zone")) s.fees.cross_zone = fees["cross-zone"].non_negative();
+        if (fees.has("peer")) s.fees.peer = fees["peer"].non_negative();
+        if (fees.has("probe")) s.fees.probe = fees["probe"].non_negative();
+        if (fees.has("handshake")) s.fees.handshake = fees["handshake"].non_negative();
     }
     if (root.has("tenants"))
         for (const Field& item : root["tenants"].items()) {
             c.tenants.push_back(item["name"].text());
-            s.tenants.push_back({item.has("quota-per-s") ? item["quota-per-s"].amount() : 0});
+            s.tenants.push_back({item.has("quota-per-s") ? item["quota-per-s"].non_negative() : 0});
         }
-    if (root.has("over-share-worth")) s.over_share_worth = root["over-share-worth"].amount();
+    if (root.has("over-share-worth")) s.over_share_worth = root["over-share-worth"].non_negative();
     try {
         validate(s);
     } catch (const std::invalid_argument& error) {
@@ -227,9 +227,9 @@
     const auto parsed = std::from_chars(seed.data(), end, c.seed, 16);
     if (seed.empty() || parsed.ptr != end || parsed.ec != std::errc()) fail("seed", "is not a hex number");
     if (root.has("limits") && root["limits"].has("sockets"))
-        c.sockets = root["limits"]["sockets"].whole<std::size_t>();
+        c.sockets = root["limits"]["sockets"].whole_number<std::size_t>();
     if (root.has("limits") && root["limits"].has("memory_mb"))
-        c.memory_mb = static_cast<std::size_t>(root["limits"]["memory_mb"].amount());
+        c.memory_mb = static_cast<std::size_t>(root["limits"]["memory_mb"].non_negative());
     if (c.sockets < 64) fail("limits.sockets", "is under 64, too few to serve with");
     if (root.has("peer_listen")) c.peer_listen = root["peer_listen"].endpoint<udp>();
     if (root.has("peers"))
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -1,4 +1,5 @@
-// The configuration, typed. Every complaint names the field that it is about.
+// The sidecar's configuration (the JSON file named by NODE_CONFIG), typed. Every error message names the
+// field that it is about.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,22 +22,22 @@
     using std::runtime_error::runtime_error;
 };
 
-// One server as discovery lists it.
+// A server as listed by discovery.
 struct Host {
     std::string name;
-    tcp::endpoint dial;
+    tcp::endpoint dial;  // unset for a deleted server
     std::string zone;
     std::uint32_t cell = 0;
     Phase phase = Phase::on;
-    Millis born = 0;
-    double units = 1;
+    Millis born = 0;   // start of the server's process, Unix ms
+    double units = 1;  // relative capacity
 };
 struct HostList {
     std::uint64_t seq = 0;
-    bool whole = false;
+    bool whole = false;  // the full list; false: changes only
     std::vector<Host> hosts;
 };
-// Reads discovery's form; throws ConfigError.
+// Parses an answer of discovery; throws ConfigError.
 HostList read_hosts(const nlohmann::json& json);
 
 struct Config {
@@ -49,7 +50,7 @@
     std::optional<udp::endpoint> peer_listen;
     std::vector<udp::endpoint> peers;
     std::optional<udp::endpoint> peers_all;
-    std::optional<HostList> known;
+    std::optional<HostList> known;  // the server list to start with
 
     Settings settings;
     std::vector<std::string> zones;
@@ -57,17 +58,19 @@
     std::vector<std::string> tenants;
     Millis connect_timeout = 1000;
     Millis idle_close = 15000;
-    Millis longest_deadline = 3000;
+    Millis longest_deadline = 3000;  // of all classes
     Millis max_retry_after = 1000;
 
-    ZoneId zone(const std::string& name);  // a name not met before gets the next number
+    ZoneId zone(const std::string& name);  // assigns the next id to an unknown name
 };
+// Throws ConfigError.
 Config read_config(const nlohmann::json& json);
 
-// Reads the file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what it says.
+// Reads the file named by NODE_CONFIG; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override its fields. Throws
+// ConfigError.
 Config load_config();
-// The file again, for the address of discovery. Here the file goes before the variable: it is what has
-// changed.
+// Reads discovery's address from the file again. Unlike in load_config(), the file takes precedence over the
+// environment variable, as it is what has changed. Throws ConfigError.
 tcp::endpoint reload_discovery();
 
 }  // namespace cobaltshift
--- a/src/net/dialect.cpp
+++ b/src/net/dialect.cpp
@@ -27,9 +27,9 @@
 }
 
 Reading PlatformDialect::read(Outcome outcome, const HttpResponse* response, Story&) {
-    // A 4xx speaks of the request, not of the server: another would say the same. It is passed on as it is,
-    // and as withdrawn it counts neither for the server nor against it. 429 would tell the client that it
-    // never ran.
+    // A 4xx concerns the request and not the server: any other server would answer the same. It is passed on
+    // unchanged, and the outcome `recalled` counts neither for nor against the server. 429 is not passed on,
+    // as it would tell the client that the request never ran.
     const unsigned status = response ? response->result_int() : 0;
     const bool unfit = status >= 400 && status < 500 && status != 408 && status != 429;
     return {unfit ? Outcome::recalled : outcome,
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -8,13 +8,13 @@
 namespace cobaltshift {
 
 namespace {
-constexpr int kWaitMs = 20000;
-// A call takes the wait, and what passing on a long list takes; one that has nothing to wait for, less.
-constexpr std::chrono::milliseconds kBeyondWait{2000}, kCallTime{2000};
-// One service for all sidecars works through their calls in turn, and says itself when one has waited too
+constexpr int kLongPollMs = 20000;
+// A long poll may take the server's wait plus the transfer of a long list; a call without a wait takes less.
+constexpr std::chrono::milliseconds kLongPollMargin{2000}, kCallTimeout{2000};
+// A discovery service shared by all sidecars queues their calls and itself rejects those that have waited too
 // long.
-constexpr std::chrono::milliseconds kTurn{6000};
-constexpr std::uint64_t kListLimit = 16 * 1024 * 1024;
+constexpr std::chrono::milliseconds kSharedServiceTimeout{6000};
+constexpr std::uint64_t kMaxListBytes = 16 * 1024 * 1024;
 }  // namespace
 
 struct Discovery::Call {
@@ -23,13 +23,17 @@
     http::request<http::empty_body> request;
     http::response_parser<http::string_body> parser;
     beast::flat_buffer buffer;
-    bool whole = false;
+    bool full = false;
 };
 
 Discovery::Discovery(asio::io_context& io, const Config& config, Handlers handlers)
-    : io_(io), config_(config), at_(config.discovery), handlers_(std::move(handlers)), pause_(io) {
+    : io_(io),
+      config_(config),
+      endpoint_(config.discovery),
+      handlers_(std::move(handlers)),
+      retry_timer_(io) {
     if (config.known) seq_ = config.known->seq;
-    gap_ = !config.known;
+    resync_needed_ = !config.known;
 }
 
 void Discovery::watch(bool active) {
@@ -38,52 +42,54 @@
 }
 
 void Discovery::fetch() {
-    fetch_ = true;
+    fetch_requested_ = true;
     if (!call_) next();
 }
 
-void Discovery::move_to(const tcp::endpoint& to) {
-    if (to == at_) return;
+void Discovery::set_endpoint(const tcp::endpoint& to) {
+    if (to == endpoint_) return;
     log_line("discovery.moves", "discovery moves",
              {{"to", to.address().to_string() + ":" + std::to_string(to.port())}});
-    at_ = to;
+    endpoint_ = to;
     const auto old = std::move(call_);
     call_.reset();
     if (old) old->stream->close();
-    kept_.reset();
-    seq_ = 0;  // the new one counts for itself: a lower number is no older list
-    gap_ = true;
+    idle_stream_.reset();
+    seq_ = 0;  // sequence numbers of different servers are not comparable
+    resync_needed_ = true;
     next();
 }
 
 void Discovery::next() {
-    if (call_ || (!active_ && !fetch_)) return;
-    pause_.cancel();
-    call(gap_ || fetch_);
+    if (call_ || (!active_ && !fetch_requested_)) return;
+    retry_timer_.cancel();
+    call(resync_needed_ || fetch_requested_);
 }
 
-void Discovery::call(bool whole) {
-    const bool fresh = !kept_;
-    auto call = std::make_shared<Call>(fresh ? std::make_unique<beast::tcp_stream>(io_) : std::move(kept_));
-    kept_.reset();
+void Discovery::call(bool full) {
+    const bool new_connection = !idle_stream_;
+    auto call = std::make_shared<Call>(new_connection ? std::make_unique<beast::tcp_stream>(io_)
+                                                      : std::move(idle_stream_));
+    idle_stream_.reset();
     call_ = call;
-    call->whole = whole;
+    call->full = full;
     std::string target = "/v1/servers";
-    if (!whole) target += "?after=" + std::to_string(seq_) + "&wait_ms=" + std::to_string(kWaitMs);
+    if (!full) target += "?after=" + std::to_string(seq_) + "&wait_ms=" + std::to_string(kLongPollMs);
     call->request = {http::verb::get, target, 11};
-    call->request.set(http::field::host, at_.address().to_string());
-    call->parser.body_limit(kListLimit);
+    call->request.set(http::field::host, endpoint_.address().to_string());
+    call->parser.body_limit(kMaxListBytes);
     const auto fail = [this, call](error_code ec) {
         if (ec) failed(call, ec.message());
-        return ec || call_ != call;  // moved away from meanwhile
+        return ec || call_ != call;  // abandoned by set_endpoint()
     };
     const auto exchange = [this, call, fail] {
-        const auto turn = config_.settings.list_on_request ? kTurn : kCallTime;
-        call->stream->expires_after(call->whole ? turn : std::chrono::milliseconds(kWaitMs) + kBeyondWait);
+        const auto timeout = config_.settings.list_on_request ? kSharedServiceTimeout : kCallTimeout;
+        call->stream->expires_after(call->full ? timeout
+                                               : std::chrono::milliseconds(kLongPollMs) + kLongPollMargin);
         http::async_write(*call->stream, call->request, [this, call, fail](error_code ec, std::size_t) {
             if (fail(ec)) return;
-            // The head by itself: read in one go with the body's first bytes, Beast 1.74 goes on past its own
-            // complaint that the stated length is over the limit.
+            // The head is read separately: when it is read together with the first bytes of the body,
+            // Beast 1.74 continues after reporting that Content-Length exceeds the limit.
             http::async_read_header(*call->stream, call->buffer, call->parser,
                                     [this, call, fail](error_code bad_head, std::size_t) {
                                         if (fail(bad_head)) return;
@@ -94,9 +100,9 @@
                                     });
         });
     };
-    if (!fresh) return exchange();
-    call->stream->expires_after(kCallTime);
-    call->stream->async_connect(at_, [fail, exchange](error_code ec) {
+    if (!new_connection) return exchange();
+    call->stream->expires_after(kCallTimeout);
+    call->stream->async_connect(endpoint_, [fail, exchange](error_code ec) {
         if (!fail(ec)) exchange();
     });
 }
@@ -108,39 +114,41 @@
     try {
         list = read_hosts(nlohmann::json::parse(response.body()));
     } catch (const std::exception& error) {
-        return failed(call, std::string("an answer that can't be read: ") + error.what());
+        return failed(call, std::string("an answer that can't be parsed: ") + error.what());
     }
-    if (call->whole && !list.whole) return failed(call, "changes where the whole list was asked for");
+    if (call->full && !list.whole)
+        return failed(call, "an incremental list in answer to a request for the full list");
     if (list.seq < seq_) {
-        gap_ = true;
-        return failed(call, "an older list");
+        resync_needed_ = true;
+        return failed(call, "a list older than the one held");
     }
     call_.reset();
-    if (call->parser.keep_alive()) kept_ = std::move(call->stream);
+    if (call->parser.keep_alive()) idle_stream_ = std::move(call->stream);
     seq_ = list.seq;
-    if (list.whole) gap_ = false;
-    if (call->whole) fetch_ = false;
-    // The next call goes out first, so that the watch never lapses.
+    if (list.whole) resync_needed_ = false;
+    if (call->full) fetch_requested_ = false;
+    // The next call is sent before the list is applied, so that the watch has no gap.
     next();
-    if (list.whole || !list.hosts.empty() || config_.settings.list_on_request) handlers_.told(list);
+    if (list.whole || !list.hosts.empty() || config_.settings.list_on_request) handlers_.on_list(list);
 }
 
 void Discovery::failed(const std::shared_ptr<Call>& call, const std::string& why) {
     if (call_ != call) return;
-    log_line("discovery.failed", "discovery: " + why, {{"why", why}});
+    log_line("discovery.failed", "discovery call failed: " + why, {{"why", why}});
     call_.reset();
-    kept_.reset();
-    // One service for all is asked for what has changed since the version held, as long as it gives any:
-    // whole lists for everybody, at the moment when it is behind, are what keeps it behind.
-    if (!config_.settings.list_on_request) gap_ = true;
+    idle_stream_.reset();
+    // A discovery service shared by all sidecars is asked only for the changes after the version held:
+    // requests for the full list from all sidecars would keep an overloaded service overloaded.
+    if (!config_.settings.list_on_request) resync_needed_ = true;
     if (config_.settings.list_on_request) {
-        active_ = false, fetch_ = false;
-        return handlers_.failed();
+        active_ = false, fetch_requested_ = false;
+        return handlers_.on_failure();
     }
-    // Soon, for a list that has moved on costs requests; not in step with others, and not in a spin.
+    // Retries soon, as requests fail while the list is outdated, but with jitter, so that sidecars neither
+    // retry in step nor in a busy loop.
     static std::minstd_rand random{std::random_device{}()};
-    pause_.expires_after(std::chrono::milliseconds(50 + random() % 100));
-    pause_.async_wait([this](error_code ec) {
+    retry_timer_.expires_after(std::chrono::milliseconds(50 + random() % 100));
+    retry_timer_.async_wait([this](error_code ec) {
         if (!ec) next();
     });
 }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,4 +1,6 @@
-// The watch on discovery. It keeps the list held coming; what can't be read or is older changes nothing.
+// The client of the discovery service. It long-polls for changes of the server list and passes them on;
+// answers that can't be parsed or that are older than the list held are ignored. Entry type: Discovery. Not
+// thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <boost/beast/core/tcp_stream.hpp>
@@ -14,34 +16,36 @@
 class Discovery {
 public:
     struct Handlers {
-        std::function<void(const HostList&)> told;
-        std::function<void()> failed;  // where lists are asked for: the call or the watch broke
+        std::function<void(const HostList&)> on_list;
+        std::function<void()> on_failure;  // only if lists are requested: the fetch or the watch failed
     };
     Discovery(asio::io_context& io, const Config& config, Handlers handlers);
 
-    void watch(bool active);  // where lists are pushed, active from the start
-    void fetch();             // the whole list, once
-    // From now on another address is asked, from the whole list on. What the old one still says is dropped.
-    void move_to(const tcp::endpoint& to);
+    // Starts or stops polling for changes. If lists are pushed, the caller starts it at once.
+    void watch(bool active);
+    // Requests the full list once.
+    void fetch();
+    // Switches to another address, starting with the full list. Pending answers of the old one are dropped.
+    void set_endpoint(const tcp::endpoint& to);
 
 private:
     struct Call;
     void next();
-    void call(bool whole);
+    void call(bool full);
     void answered(const std::shared_ptr<Call>& call);
     void failed(const std::shared_ptr<Call>& call, const std::string& why);
 
     asio::io_context& io_;
     const Config& config_;
-    tcp::endpoint at_;
+    tcp::endpoint endpoint_;
     Handlers handlers_;
     std::shared_ptr<Call> call_;
-    std::unique_ptr<beast::tcp_stream> kept_;  // the connection for the next call
-    asio::steady_timer pause_;
+    std::unique_ptr<beast::tcp_stream> idle_stream_;  // connection kept for the next call
+    asio::steady_timer retry_timer_;
     std::uint64_t seq_ = 0;
     bool active_ = false;
-    bool gap_ = false;  // something may have been missed: the whole list is next
-    bool fetch_ = false;
+    bool resync_needed_ = false;  // changes may have been missed: request the full list next
+    bool fetch_requested_ = false;
 };
 
 }  // namespace cobaltshift
--- a/src/net/form.cpp
+++ b/src/net/form.cpp
@@ -14,7 +14,7 @@
     return request.count(name) == 1 && !request[name].empty();
 }
 
-// A finite amount, not below zero, up to the first character that is not part of it.
+// A finite non-negative number, and a pointer to the first character behind it.
 std::optional<std::pair<double, const char*>> parse_amount(beast::string_view text) {
     double value = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -22,7 +22,8 @@
     return std::pair{value, parsed.ptr};
 }
 
-bool graphic(beast::string_view text) {
+// Printable ASCII without spaces.
+bool is_graphic(beast::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -44,7 +45,7 @@
     const auto lengths = request.count(http::field::content_length);
     if (codings + lengths > 1) return http::status::bad_request;
     if (codings == 1 && !beast::iequals(coding, "chunked")) return http::status::bad_request;
-    // Beast also takes a list of equal lengths.
+    // Beast also accepts a list of equal lengths.
     if (!std::all_of(length.begin(), length.end(), [](char c) { return c >= '0' && c <= '9'; }))
         return http::status::bad_request;
     return {};
@@ -54,26 +55,27 @@
     const auto target = request.target();
     if (std::distance(request.begin(), request.end()) > kMaxFields)
         return http::status::request_header_fields_too_large;
-    // Before anything that a class decides: what the path says must be what servers read.
+    // Checked before everything that depends on the class: servers must read the same path as we do.
     if (!target.empty() && target.front() == '/' && path_fault({target.data(), target.size()}))
         return http::status::bad_request;
     if (request.method() != http::verb::get && request.method() != http::verb::post)
         return http::status::method_not_allowed;
     if (!given_once(request, "Host") || !given_once(request, "X-Correlation-Id") ||
         !given_once(request, "X-Service-Class") || !given_once(request, "X-Time-Left") ||
-        !graphic(request["X-Correlation-Id"]) || !parse_time_left(request["X-Time-Left"]))
+        !is_graphic(request["X-Correlation-Id"]) || !parse_time_left(request["X-Time-Left"]))
         return http::status::bad_request;
-    if (const auto hint = request["X-Weight-Hint"]; request.count("X-Weight-Hint") > 0) {
-        const auto amount = parse_amount(hint);
-        if (!amount || amount->second != hint.data() + hint.size()) return http::status::bad_request;
+    if (const auto weight_hint = request["X-Weight-Hint"]; request.count("X-Weight-Hint") > 0) {
+        const auto amount = parse_amount(weight_hint);
+        if (!amount || amount->second != weight_hint.data() + weight_hint.size())
+            return http::status::bad_request;
     }
     const auto& names = config.classes;
     const auto name = std::find(names.begin(), names.end(), request["X-Service-Class"]);
     if (name == names.end()) return http::status::bad_request;
     const Effect effect = config.settings.classes[static_cast<std::size_t>(name - names.begin())].effect;
-    const bool get = request.method() == http::verb::get;
-    if (get != (effect == Effect::repeatable)) return http::status::method_not_allowed;
-    if (get &&
+    const bool is_get = request.method() == http::verb::get;
+    if (is_get != (effect == Effect::repeatable)) return http::status::method_not_allowed;
+    if (is_get &&
         (request.count(http::field::transfer_encoding) > 0 ||
          request.count(http::field::content_length) > 0) &&
         request[http::field::content_length] != "0")
@@ -81,8 +83,8 @@
     if (effect == Effect::by_key ? !given_once(request, "Idempotency-Key")
                                  : request.count("Idempotency-Key") > 0)
         return http::status::bad_request;
-    // The first part of the path is the class.
-    if (!graphic(target) || target.empty() || target.front() != '/') return http::status::bad_request;
+    // The first path segment names the class.
+    if (!is_graphic(target) || target.empty() || target.front() != '/') return http::status::bad_request;
     if (target.substr(1, target.find_first_of("/?", 1) - 1) != *name) return http::status::bad_request;
     return {};
 }
--- a/src/net/form.hpp
+++ b/src/net/form.hpp
@@ -1,5 +1,5 @@
-// What a request must look like to be passed on: the protocol's form and nothing else. What is refused here
-// reaches neither the module nor a server.
+// Validation of requests against the platform's protocol. Rejected requests reach neither the decision module
+// nor a server.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,15 @@
 
 namespace cobaltshift {
 
-// "480m" or "480000u"; nothing else.
+// Parses X-Time-Left: "480m" (ms) or "480000u" (microseconds) and nothing else. The result is in ms.
 std::optional<Millis> parse_time_left(beast::string_view text);
 
-// A head whose body may be seen otherwise by a server than here: it could hide a second request. The
-// connection is of no use after it.
+// The status to reject a head with if a server could determine the body's length differently, which permits
+// request smuggling. The connection must be closed after it.
 std::optional<http::status> framing_fault(const HttpRequest& request);
 
-// Method, path, key and figures that don't fit the class, or no class at all.
+// The status to reject a head with if its class is unknown, or its method, path, key or numeric headers are
+// missing, malformed or not allowed for its class.
 std::optional<http::status> form_fault(const HttpRequest& request, const Config& config);
 
 }  // namespace cobaltshift
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,4 @@
-// What both sides of the sidecar share of HTTP.
+// HTTP definitions and helpers shared by the client and server sides of the sidecar.
 #pragma once
 
 #include <sys/socket.h>
@@ -25,16 +25,16 @@
 
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 constexpr std::uint64_t kMaxBody = 64 * 1024;
-// Servers commonly take a hundred fields and drop the connection over one more, which tells a client nothing:
-// it would come back for ever. The rest is for what is set on the way.
+// Servers commonly accept 100 header fields and drop the connection if there are more. The client learns no
+// reason from that and would retry forever. The difference is room for the fields that are added on the way.
 constexpr std::ptrdiff_t kMaxFields = 90;
 
-// Headers that speak of one connection only, and those that Connection names, stay on it.
+// Removes the hop-by-hop headers and the headers named by Connection.
 template <class Fields>
 void strip_hop_by_hop(Fields& fields) {
     std::vector<std::string> names;
     for (const auto& name : http::token_list(fields[http::field::connection])) names.emplace_back(name);
-    for (const auto& name : names)  // but never what tells a server that it has seen a request before
+    for (const auto& name : names)  // except those that identify a request: servers detect repeats by them
         if (!beast::iequals(name, "Idempotency-Key") && !beast::iequals(name, "X-Correlation-Id"))
             fields.erase(name);
     for (const char* name : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
@@ -42,41 +42,45 @@
         fields.erase(name);
 }
 
-inline bool folds(std::string_view head) {
+// Whether a header field continues on the next line (obs-fold).
+inline bool has_folded_line(std::string_view head) {
     return head.find("\n ") != std::string_view::npos || head.find("\n\t") != std::string_view::npos;
 }
 
-// Hands what has come to a parser that is not eager; need_more if that is used up. The limit on heads is kept
-// here: the parser takes whole lines as they come and holds its own limit against what is left of them, so
-// that a head that never ends, sent by whole lines, would be kept without bound.
+// Feeds the received bytes to a parser that is not eager; need_more once they are consumed. `head_bytes`
+// counts the bytes of the head over all calls for one message. The limit on the head is enforced here because
+// the parser consumes complete lines as they arrive and checks its own limit only against the unconsumed
+// rest, so an endless head sent in complete lines would be stored without bound.
 template <class Parser>
-error_code feed(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes,
-                std::size_t most_head = kMaxHeader) {
+error_code parse_received(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes,
+                          std::size_t max_head = kMaxHeader) {
     error_code ec = http::error::need_more;
     if (in.size() == 0) return ec;
-    const bool head = !parser.is_header_done();
-    const std::size_t used = parser.put(in.data(), ec);
+    const bool in_head = !parser.is_header_done();
+    const std::size_t consumed = parser.put(in.data(), ec);
     if constexpr (Parser::value_type::is_request::value) {
-        // A folded line (RFC 9112 5.2) comes whole with its field. What another reader makes of it is
-        // anybody's guess.
-        if (head && folds({static_cast<const char*>(in.data().data()), used}))
+        // A folded line (RFC 9112 5.2) is consumed together with its field. It is rejected because servers
+        // interpret folding differently.
+        if (in_head && has_folded_line({static_cast<const char*>(in.data().data()), consumed}))
             return http::error::bad_obs_fold;
     }
-    in.consume(used);
-    if (head) head_bytes += used;
-    const bool endless = ec == http::error::need_more && in.size() + (head ? head_bytes : 0) >= most_head;
-    if (endless || head_bytes > most_head) return http::error::header_limit;
+    in.consume(consumed);
+    if (in_head) head_bytes += consumed;
+    const bool head_too_long =
+        ec == http::error::need_more && in.size() + (in_head ? head_bytes : 0) >= max_head;
+    if (head_too_long || head_bytes > max_head) return http::error::header_limit;
     return ec;
 }
 
-// What a look at a quiet connection shows without taking anything from it.
-enum class Quiet { nothing, bytes, ended };
-inline Quiet peek(tcp::socket& socket) {
+// Peeks at a connection's receive buffer without blocking or consuming data. `ended`: closed by the peer or
+// broken.
+enum class PendingInput { nothing, bytes, ended };
+inline PendingInput peek(tcp::socket& socket) {
     char byte;
     const auto n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n > 0) return Quiet::bytes;
-    return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? Quiet::nothing
-                                                                                : Quiet::ended;
+    if (n > 0) return PendingInput::bytes;
+    return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? PendingInput::nothing
+                                                                                : PendingInput::ended;
 }
 
 }  // namespace cobaltshift
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-constexpr Millis kAlwaysUrgent = 0;  // of an answer that has waited elsewhere
-constexpr Millis kLingerTime = 500;  // for the client to read the last answer
-constexpr std::size_t kLingerBytes = 256 * 1024;
-constexpr std::chrono::milliseconds kAcceptRetry{20}, kSweep{50};
-// Which connections may go for another: silent ones never used, those long in sending their first request,
-// and idle ones that a client may still count on, but not within 2 s.
-constexpr Millis kSilentGrace = 20, kSlowGrace = 150, kIdleGrace = 2000;
-constexpr std::size_t kReadSize = 4096, kAhead = kMaxHeader;
-// What the kernel holds unread counts as memory too, and a sender at full speed fills it.
-constexpr int kKernelBuffer = 64 * 1024;
+constexpr Millis kAlwaysUrgent = 0;  // answers without an urgency time have already waited elsewhere
+// The bounds on the time and the input while a client reads the last answer on a connection.
+constexpr Millis kLingerTimeMs = 500;
+constexpr std::size_t kMaxLingerBytes = 256 * 1024;
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20}, kSweepInterval{50};
+// The ages from which a connection may be closed in favour of another: without any request data, while
+// sending its first request, and idle after a request. Clients may still reuse an idle connection, hence the
+// 2 s.
+constexpr Millis kUnusedGraceMs = 20, kFirstRequestGraceMs = 150, kIdleGraceMs = 2000;
+constexpr std::size_t kReadBytes = 4096, kMaxPipelinedBytes = kMaxHeader;
+// Unread data in the kernel counts towards the process's memory, and a fast sender fills that buffer.
+constexpr int kReceiveBufferBytes = 64 * 1024;
 
 http::status status_for(error_code ec) {
     if (ec == http::error::body_limit) return http::status::payload_too_large;
@@ -28,81 +30,85 @@
 
 }  // namespace
 
-// One connection: idle, reading a request, waiting for its answer, writing that, and so on until it closes.
+// One client connection: it repeats idle, reading a request, waiting for its answer and writing the answer
+// until it closes. Before it closes after an answer, it lingers until the client has read that.
 class Listener::Session : public Client, public std::enable_shared_from_this<Session> {
 public:
     enum class State { idle, reading, waiting, writing, lingering, closed };
 
     Session(Listener& owner, tcp::socket socket)
-        : owner_(owner), socket_(std::move(socket)), since_(owner.clock_.now()) {
-        owner_.book(account_, 1);
+        : owner_(owner), socket_(std::move(socket)), state_since_(owner.clock_.now()) {
+        owner_.adjust_count(usage_, 1);
     }
 
     State state() const { return state_; }
-    // An idle one that has nothing in the kernel either: closing it takes no request away.
-    bool quiet() { return state_ == State::idle && in_.size() == 0 && peek(socket_) != Quiet::bytes; }
+    // Idle without received data, neither here nor in the kernel: closing it loses no request.
+    bool is_quiet() {
+        return state_ == State::idle && input_.size() == 0 && peek(socket_) != PendingInput::bytes;
+    }
 
-    Account account() const { return account_; }
+    Usage usage() const { return usage_; }
 
     std::optional<OpenRequest> open_request() const {
         using Stage = OpenRequest::Stage;
-        const Millis age = owner_.clock_.now() - began_;
+        const Millis age = owner_.clock_.now() - request_began_;
         switch (state_) {
             case State::reading:
                 return OpenRequest{Stage::reading, {}, age, 0};
             case State::waiting:
                 return OpenRequest{Stage::waiting, log_name_, age, 0};
             case State::writing:
-                return OpenRequest{Stage::answering, log_name_, age, answer_left()};
+                return OpenRequest{Stage::answering, log_name_, age, unsent_bytes()};
             default:
                 return {};
         }
     }
 
-    // Which go first to make room for another, the least first; kStays: it does not go.
-    static constexpr int kStays = 4;
-    int rank(Millis now) const {
-        const Millis age = now - since_;
-        if (state_ == State::idle && new_ && age >= kSilentGrace) return 0;
-        if (state_ == State::lingering && age >= kSilentGrace) return 1;
-        if (state_ == State::reading && new_ && age >= kSlowGrace) return 2;
-        if (state_ == State::idle && !new_ && age >= kIdleGrace) return 3;
-        return kStays;
+    // The order in which connections are closed to make room for another, lowest first; kNotEvictable: never.
+    static constexpr int kNotEvictable = 4;
+    int eviction_rank(Millis now) const {
+        const Millis age = now - state_since_;
+        if (state_ == State::idle && is_new_ && age >= kUnusedGraceMs) return 0;
+        if (state_ == State::lingering && age >= kUnusedGraceMs) return 1;
+        if (state_ == State::reading && is_new_ && age >= kFirstRequestGraceMs) return 2;
+        if (state_ == State::idle && !is_new_ && age >= kIdleGraceMs) return 3;
+        return kNotEvictable;
     }
 
     void start() {
         error_code ec;
         socket_.set_option(tcp::no_delay(true), ec);
         socket_.non_blocking(true, ec);
-        until_ = since_ + owner_.front_.bounds().head_time;  // from the start, whatever comes when
+        deadline_ = state_since_ +
+                    owner_.front_.bounds().head_time;  // from the start, independent of when data arrives
         receive();
     }
 
     void answer(HttpResponse response) override { answer_urgent_at(std::move(response), kAlwaysUrgent); }
 
     void answer_urgent_at(HttpResponse response, Millis urgent_at) override {
-        if (state_ != State::waiting) return;  // the client has left
-        release();
+        if (state_ != State::waiting) return;  // the client has disconnected
+        release_request();
         write(std::move(response), keep_, urgent_at);
     }
 
     void close() {
         if (state_ == State::closed) return;
         const State before = state_;
-        enter(State::closed);
-        if (paced_ != 0) owner_.link_->withdraw(std::exchange(paced_, 0));
+        set_state(State::closed);
+        if (paced_write_ != 0) owner_.link_->cancel(std::exchange(paced_write_, 0));
         error_code ignored;
         socket_.close(ignored);
-        release();
+        release_request();
         if (before == State::waiting) owner_.front_.client_gone(id_);
         owner_.closed(*this);
     }
 
-    bool is_due(Millis now) const { return until_ > 0 && now >= until_; }
-    void time_is_up() {
+    bool is_overdue(Millis now) const { return deadline_ > 0 && now >= deadline_; }
+    void on_timeout() {
         if (state_ == State::reading) return reject(http::status::request_timeout);
         if (state_ == State::writing) {
-            if (waits_for_turn()) return;
+            if (is_waiting_for_link()) return;
             log_answer_cut();
         }
         close();
@@ -111,44 +117,44 @@
     Sessions::iterator place;
 
 private:
-    void enter(State state) {
+    void set_state(State state) {
         state_ = state;
-        owner_.book(account_, std::size_t(-1));
-        account_ = state == State::lingering || state == State::closed ? Account::none
-                   : new_                                              ? Account::silent
-                   : state == State::idle                              ? Account::kept
-                                                                       : Account::busy;
-        owner_.book(account_, 1);
+        owner_.adjust_count(usage_, std::size_t(-1));
+        usage_ = state == State::lingering || state == State::closed ? Usage::none
+                 : is_new_                                           ? Usage::unused
+                 : state == State::idle                              ? Usage::kept_alive
+                                                                     : Usage::busy;
+        owner_.adjust_count(usage_, 1);
     }
 
-    void idle() {
-        enter(State::idle);
-        since_ = owner_.clock_.now();
+    void become_idle() {
+        set_state(State::idle);
+        state_since_ = owner_.clock_.now();
         const Millis idle_time = owner_.front_.bounds().idle_time;
-        until_ = idle_time > 0 ? since_ + idle_time : 0;
-        if (owner_.stopped_ && quiet()) return close();
+        deadline_ = idle_time > 0 ? state_since_ + idle_time : 0;
+        if (owner_.stopped_ && is_quiet()) return close();
         owner_.sessions_.splice(owner_.sessions_.end(), owner_.sessions_, place);
-        if (in_.size() > 0) return begin();
-        if (in_.capacity() > kReadSize) in_.shrink_to_fit();
+        if (input_.size() > 0) return begin_request();
+        if (input_.capacity() > kReadBytes) input_.shrink_to_fit();
         receive();
-        owner_.accept();  // one that waits may now find room
+        owner_.accept();  // a waiting connection may now be accepted
     }
 
-    // At most one read is under way, in whichever state: it notices the client's leaving too. It has its own
-    // place for the bytes, since what has come before may be used up meanwhile.
+    // Starts a read unless one is pending. There is a read pending in every state, as it also detects that
+    // the client disconnects. It has a buffer of its own because the input buffer may be consumed meanwhile.
     void receive() {
         if (receiving_ || state_ == State::closed) return;
         receiving_ = true;
         socket_.async_read_some(
-            asio::buffer(chunk_), [this, self = shared_from_this()](error_code ec, std::size_t n) {
+            asio::buffer(read_buffer_), [this, self = shared_from_this()](error_code ec, std::size_t n) {
                 receiving_ = false;
                 if (state_ == State::closed) return;
                 try {
                     received(ec, n);
                 } catch (const std::exception& error) {
-                    // Of one connection: what goes wrong with it must not touch the
-                    // others.
-                    log_line("listener.failed", std::string("a connection failed: ") + error.what());
+                    // Contained to this connection: an error must not affect the others.
+                    log_line("listener.failed",
+                             std::string("processing a client's request failed: ") + error.what());
                     close();
                 }
             });
@@ -157,29 +163,28 @@
     void received(error_code ec, std::size_t n) {
         if (state_ == State::lingering) {
             discarded_ += n;
-            if (ec || discarded_ > kLingerBytes) return close();
+            if (ec || discarded_ > kMaxLingerBytes) return close();
             return receive();
         }
         if (ec) {
-            // What waits for the link in turns would be written for nobody.
-            if (state_ != State::writing || paced_ != 0) return close();
-            left_ = true;
+            // A paced answer is dropped: it would take link time for a client that has disconnected.
+            if (state_ != State::writing || paced_write_ != 0) return close();
+            client_gone_ = true;
             return;
         }
-        in_.commit(asio::buffer_copy(in_.prepare(n), asio::buffer(chunk_, n)));
-        if (state_ == State::idle) return begin();
+        input_.commit(asio::buffer_copy(input_.prepare(n), asio::buffer(read_buffer_, n)));
+        if (state_ == State::idle) return begin_request();
         if (state_ == State::reading) return parse();
-        // The next request, ahead of this one's answer. It is read when its turn comes; the reading goes on
-        // for the client's leaving.
-        if (state_ == State::waiting && in_.size() < kAhead) receive();
+        // A pipelined request; it is parsed after the answer. Reading continues to detect a disconnect.
+        if (state_ == State::waiting && input_.size() < kMaxPipelinedBytes) receive();
     }
 
-    void begin() {
-        enter(State::reading);
-        began_ = owner_.clock_.now();
+    void begin_request() {
+        set_state(State::reading);
+        request_began_ = owner_.clock_.now();
         bounds_ = owner_.front_.bounds();
         log_name_.clear();
-        if (!new_ || until_ == 0) until_ = began_ + bounds_.head_time;
+        if (!is_new_ || deadline_ == 0) deadline_ = request_began_ + bounds_.head_time;
         parser_.emplace();
         parser_->header_limit(static_cast<std::uint32_t>(bounds_.header));
         parser_->body_limit(bounds_.body);
@@ -191,24 +196,25 @@
 
     void parse() {
         while (!parser_->is_done()) {
-            const error_code ec = feed(*parser_, in_, head_bytes_, bounds_.header);
+            const error_code ec = parse_received(*parser_, input_, head_bytes_, bounds_.header);
             if (ec == http::error::need_more) return receive();
             if (ec) return reject(status_for(ec));
             if (parser_->is_header_done() && !head_seen_) {
                 head_seen_ = true;
-                if (!look_at_head()) return;
+                if (!accept_head()) return;
             }
         }
-        handle();
+        dispatch();
     }
 
-    // No body is read before its head is found good and there is room for it. False: it was turned away.
-    bool look_at_head() {
+    // Validates the head and reserves memory for the body before the body is read. False: the request was
+    // rejected.
+    bool accept_head() {
         const HttpRequest& head = parser_->get();
         const auto fault = owner_.front_.fault(head);
         const std::size_t length =
             parser_->chunked() ? std::min(bounds_.body, kMaxBody) : parser_->content_length().value_or(0);
-        until_ += bounds_.read_time - bounds_.head_time;
+        deadline_ += bounds_.read_time - bounds_.head_time;
         if (fault) {
             keep_ = !framing_fault(head) && length == 0 && head.keep_alive();
             write(HttpResponse(*fault, 11), keep_);
@@ -218,53 +224,57 @@
             reject(http::status::service_unavailable);
             return false;
         }
-        claimed_ = length;
+        reserved_body_bytes_ = length;
         owner_.body_bytes_ += length;
         return true;
     }
 
-    void handle() {
+    void dispatch() {
         const bool chunked = parser_->chunked();
         auto request = std::make_shared<HttpRequest>(parser_->release());
         parser_.reset();
         keep_ = request->keep_alive();
-        new_ = false;
+        is_new_ = false;
         if (auto response = owner_.front_.local(*request)) return write(std::move(*response), keep_);
-        // What follows the chunks may add to the head.
+        // The trailers of a chunked body may have added fields to the head.
         if (chunked && owner_.front_.fault(*request)) return reject(http::status::bad_request);
         std::string name = owner_.front_.name_of(*request);
-        if (!name.empty() && !owner_.open_.insert(name).second)
+        if (!name.empty() && !owner_.open_ids_.insert(name).second)
             return write(HttpResponse(http::status::conflict, 11), keep_);
         log_name_ = name.empty() ? owner_.front_.log_name_of(*request) : name;
         open_name_ = std::move(name);
-        enter(State::waiting);
-        until_ = 0;
-        id_ = owner_.front_.arrived(std::move(request), owner_.clock_.now() - began_, weak_from_this());
-        if (in_.size() < kAhead) receive();
+        set_state(State::waiting);
+        deadline_ = 0;
+        id_ =
+            owner_.front_.arrived(std::move(request), owner_.clock_.now() - request_began_, weak_from_this());
+        if (input_.size() < kMaxPipelinedBytes) receive();
     }
 
-    void release() {
-        owner_.body_bytes_ -= std::exchange(claimed_, 0);
-        if (!open_name_.empty()) owner_.open_.erase(open_name_);
+    void release_request() {
+        owner_.body_bytes_ -= std::exchange(reserved_body_bytes_, 0);
+        if (!open_name_.empty()) owner_.open_ids_.erase(open_name_);
         open_name_.clear();
     }
 
-    std::size_t answer_left() const { return paced_ != 0 ? owner_.link_->left(paced_) : out_.body().size(); }
-    // Its reader can do nothing about a turn that has not come: the time counts from each piece on.
-    bool waits_for_turn() {
-        if (paced_ == 0) return false;
+    std::size_t unsent_bytes() const {
+        return paced_write_ != 0 ? owner_.link_->unsent_bytes(paced_write_) : response_.body().size();
+    }
+    // Whether a paced answer is waiting for the link. The client has no influence on that wait, so its time
+    // to read counts from the start of each piece.
+    bool is_waiting_for_link() {
+        if (paced_write_ == 0) return false;
         const Millis now = owner_.clock_.now();
-        until_ = owner_.link_->unread_since(paced_).value_or(now) + owner_.limits_.write_time;
-        return now < until_;
+        deadline_ = owner_.link_->piece_pending_since(paced_write_).value_or(now) + owner_.limits_.write_time;
+        return now < deadline_;
     }
     void log_answer_cut() const {
-        const Millis age = owner_.clock_.now() - began_;
+        const Millis age = owner_.clock_.now() - request_began_;
         log_line("listener.answer_cut",
-                 "an answer was not read in time and is cut: " + log_name_ + ", " +
-                     std::to_string(answer_left()) + " bytes left after " +
+                 "the client did not read its answer in time, connection closed: " + log_name_ + ", " +
+                     std::to_string(unsent_bytes()) + " bytes left after " +
                      std::to_string(static_cast<long>(age)) + " ms",
                  {{"request", log_name_},
-                  {"bytes_left", static_cast<std::uint64_t>(answer_left())},
+                  {"bytes_left", static_cast<std::uint64_t>(unsent_bytes())},
                   {"age_ms", age}});
     }
 
@@ -272,76 +282,80 @@
 
     void write(HttpResponse response, bool keep) { write(std::move(response), keep, kAlwaysUrgent); }
     void write(HttpResponse response, bool keep, Millis urgent_at) {
-        enter(State::writing);
-        release();
+        set_state(State::writing);
+        release_request();
         parser_.reset();
-        until_ = owner_.clock_.now() + owner_.limits_.write_time;
-        out_ = std::move(response);
-        out_.version(11);
-        // One that asks once and stays for good would keep the next from asking at all.
-        keep = keep && !owner_.draining_ && !owner_.crowded();
-        out_.keep_alive(keep);
-        out_.prepare_payload();
+        deadline_ = owner_.clock_.now() + owner_.limits_.write_time;
+        response_ = std::move(response);
+        response_.version(11);
+        // Clients that ask once and keep their connection would take the places that new requests need.
+        keep = keep && !owner_.draining_ && !owner_.near_limit();
+        response_.keep_alive(keep);
+        response_.prepare_payload();
         if (owner_.link_ && write_paced(keep, urgent_at)) return;
-        http::async_write(socket_, out_, [this, self = shared_from_this(), keep](error_code ec, std::size_t) {
-            written(ec, keep);
-        });
+        http::async_write(
+            socket_, response_,
+            [this, self = shared_from_this(), keep](error_code ec, std::size_t) { written(ec, keep); });
     }
     void written(error_code ec, bool keep) {
         if (state_ != State::writing) return;
-        out_ = {};
-        paced_ = 0;
-        if (ec || left_) return close();
-        if (keep) return idle();
+        response_ = {};
+        paced_write_ = 0;
+        if (ec || client_gone_) return close();
+        if (keep) return become_idle();
         linger();
     }
-    // Long answers take turns on the machine's link. False: it is short, and goes out at once.
+    // Queues a long answer for the paced link. False: the answer is short and is to be written at once.
     bool write_paced(bool keep, Millis urgent_at) {
-        if (!owner_.link_->is_long(out_.body().size())) {
-            owner_.link_->sent(out_.body().size());
+        if (!owner_.link_->is_long(response_.body().size())) {
+            owner_.link_->sent(response_.body().size());
             return false;
         }
         std::ostringstream head;
-        head << out_.base();
+        head << response_.base();
         std::string bytes = std::move(head).str();
-        bytes += out_.body();
-        out_ = {};
-        paced_ = owner_.link_->write(
+        bytes += response_.body();
+        response_ = {};
+        paced_write_ = owner_.link_->write(
             socket_, std::move(bytes), urgent_at,
             [this, self = shared_from_this(), keep](error_code ec) { written(ec, keep); });
         return true;
     }
 
-    // Closed with bytes unread, the kernel would reset the connection and the answer with it.
+    // Closing a socket with unread input makes the kernel reset the connection, which may discard the answer.
+    // So the output is shut down and input is discarded until the client closes.
     void linger() {
-        enter(State::lingering);
-        since_ = owner_.clock_.now();
-        until_ = since_ + kLingerTime;
+        set_state(State::lingering);
+        state_since_ = owner_.clock_.now();
+        deadline_ = state_since_ + kLingerTimeMs;
         error_code ec;
         socket_.shutdown(tcp::socket::shutdown_send, ec);
-        in_.clear();
+        input_.clear();
         receive();
     }
 
     Listener& owner_;
     tcp::socket socket_;
     State state_ = State::idle;
-    Account account_ = Account::silent;
+    Usage usage_ = Usage::unused;
     bool receiving_ = false;
-    bool new_ = true;    // no request has come whole and good yet
-    bool left_ = false;  // the client has, while its answer was written
+    bool is_new_ = true;        // no complete valid request yet
+    bool client_gone_ = false;  // the client disconnected while its answer was written
     bool head_seen_ = false;
     bool keep_ = true;
-    std::array<char, kReadSize> chunk_;
-    beast::flat_buffer in_;
+    std::array<char, kReadBytes> read_buffer_;
+    beast::flat_buffer input_;
     std::optional<http::request_parser<http::string_body>> parser_;
-    HttpResponse out_;
-    PacedLink::Write paced_ = 0;  // of a long answer that takes turns with others; 0: none
+    HttpResponse response_;
+    PacedLink::WriteId paced_write_ = 0;  // the write of a long answer on the paced link; 0: none
     RequestId id_ = 0;
-    std::string open_name_, log_name_;  // of the request that waits; of that or of the one that is answered
-    std::size_t head_bytes_ = 0, claimed_ = 0, discarded_ = 0;
-    Front::Bounds bounds_;                      // as of the request that is read
-    Millis since_ = 0, began_ = 0, until_ = 0;  // in this state; its request; closed or told off after
+    std::string open_name_;  // id of the request that awaits its answer
+    std::string log_name_;   // of that request or of the one being answered
+    std::size_t head_bytes_ = 0, reserved_body_bytes_ = 0, discarded_ = 0;
+    Front::Bounds bounds_;      // for the current request
+    Millis state_since_ = 0;    // start of the state idle or lingering
+    Millis request_began_ = 0;  // start of the current request
+    Millis deadline_ = 0;       // time of the timeout; 0: none
 };
 
 Listener::Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits, PacedLink* link)
@@ -351,15 +365,15 @@
       limits_(limits),
       link_(link),
       acceptor_(io),
-      retry_(io),
-      sweep_(io) {}
+      accept_retry_timer_(io),
+      sweep_timer_(io) {}
 Listener::~Listener() = default;
 
 void Listener::listen(const tcp::endpoint& at) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.set_option(
-        asio::socket_base::receive_buffer_size(kKernelBuffer));  // passed on to what it takes
+        asio::socket_base::receive_buffer_size(kReceiveBufferBytes));  // inherited by accepted sockets
     acceptor_.bind(at);
     acceptor_.listen(1024);
     acceptor_.non_blocking(true);
@@ -368,23 +382,23 @@
 }
 
 void Listener::accept() {
-    if (accepting_ || paused_ || stopped_) return;
-    // One over the limit is taken and another goes for it. With all others busy the next waits in the kernel
-    // until one is idle or closes.
-    if (sessions_.size() > limits_.connections && !make_room()) return;
+    if (accepting_ || accept_paused_ || stopped_) return;
+    // One connection over the limit is accepted, and another is closed for it. While all others are busy,
+    // further connections wait in the kernel's backlog until one becomes idle or closes.
+    if (sessions_.size() > limits_.connections && !evict_any()) return;
     accepting_ = true;
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
         accepting_ = false;
         if (stopped_) return;
-        if (!ec) admit(std::move(socket));
+        if (!ec) add_session(std::move(socket));
         if (ec == asio::error::no_descriptors || ec == error_code(ENFILE, boost::system::system_category()) ||
             ec == asio::error::no_buffer_space || ec == asio::error::no_memory) {
-            // The connection stays in the kernel, and asking again at once would spin.
-            log_line("listener.accept", "accept: " + ec.message());
-            paused_ = true;
-            retry_.expires_after(kAcceptRetry);
-            retry_.async_wait([this](error_code stop) {
-                paused_ = false;
+            // The connection stays in the backlog, so retrying at once would be a busy loop.
+            log_line("listener.accept", "accept failed: " + ec.message());
+            accept_paused_ = true;
+            accept_retry_timer_.expires_after(kAcceptRetryDelay);
+            accept_retry_timer_.async_wait([this](error_code stop) {
+                accept_paused_ = false;
                 if (!stop) accept();
             });
             return;
@@ -393,35 +407,35 @@
     });
 }
 
-// Closes the first by rank of those wanted that may go; false if there is none.
-template <class Wanted>
-bool Listener::let_go(Wanted wanted) {
+// Closes the connection of the lowest eviction rank among the candidates; false if there is none to close.
+template <class Predicate>
+bool Listener::evict(Predicate candidate) {
     const Millis now = clock_.now();
     std::shared_ptr<Session> first;
-    int rank = Session::kStays;
-    for (const auto& session : sessions_) {  // those quiet longest come first
-        const int own = session->rank(now);
-        if (own >= rank || !wanted(session->account())) continue;
-        if (session->state() == Session::State::idle && !session->quiet()) continue;
-        first = session, rank = own;
-        if (rank == 0) break;
+    int eviction_rank = Session::kNotEvictable;
+    for (const auto& session : sessions_) {  // least recently active first
+        const int own = session->eviction_rank(now);
+        if (own >= eviction_rank || !candidate(session->usage())) continue;
+        if (session->state() == Session::State::idle && !session->is_quiet()) continue;
+        first = session, eviction_rank = own;
+        if (eviction_rank == 0) break;
     }
     if (!first) return false;
-    const bool accepting = std::exchange(accepting_, true);  // not from within its closing
+    const bool accepting = std::exchange(accepting_, true);  // closing must not start an accept
     first->close();
     accepting_ = accepting;
     return true;
 }
 
-bool Listener::make_room() {
-    return let_go([](Account) { return true; });
+bool Listener::evict_any() {
+    return evict([](Usage) { return true; });
 }
 
-void Listener::admit(tcp::socket socket) {
+void Listener::add_session(tcp::socket socket) {
     auto session = std::make_shared<Session>(*this, std::move(socket));
     session->place = sessions_.insert(sessions_.end(), session);
     session->start();
-    if (too_silent()) let_go([](Account account) { return account == Account::silent; });
+    if (too_many_unused()) evict([](Usage usage) { return usage == Usage::unused; });
 }
 
 void Listener::closed(Session& session) {
@@ -429,19 +443,20 @@
     accept();
 }
 
-// One timer for all connections' time limits: none is exact, and one each would cost more than the requests.
+// Enforces the time limits of all connections with one timer. They need no precision, and a timer for each
+// connection would cost more than the requests.
 void Listener::sweep() {
-    sweep_.expires_after(kSweep);
-    sweep_.async_wait([this](error_code ec) {
+    sweep_timer_.expires_after(kSweepInterval);
+    sweep_timer_.async_wait([this](error_code ec) {
         if (ec) return;
         const Millis now = clock_.now();
         std::vector<std::shared_ptr<Session>> due;
         for (const auto& session : sessions_)
-            if (session->is_due(now)) due.push_back(session);
-        for (const auto& session : due) session->time_is_up();
-        while (crowded() && let_go([](Account account) { return account == Account::kept; })) {
+            if (session->is_overdue(now)) due.push_back(session);
+        for (const auto& session : due) session->on_timeout();
+        while (near_limit() && evict([](Usage usage) { return usage == Usage::kept_alive; })) {
         }
-        while (too_silent() && let_go([](Account account) { return account == Account::silent; })) {
+        while (too_many_unused() && evict([](Usage usage) { return usage == Usage::unused; })) {
         }
         accept();
         sweep();
@@ -452,7 +467,7 @@
     draining_ = true;
     const Sessions all = sessions_;
     for (const auto& session : all)
-        if (session->quiet()) session->close();
+        if (session->is_quiet()) session->close();
 }
 
 void Listener::stop_accepting() {
@@ -460,7 +475,7 @@
     for (tcp::socket socket(io_);;) {
         acceptor_.accept(socket, ec);
         if (ec) break;
-        admit(std::move(socket));
+        add_session(std::move(socket));
         socket = tcp::socket(io_);
     }
     stopped_ = true;
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,6 @@
-// Clients' connections: reads requests, hands them to a Front and writes the answers. Entry type: Listener.
+// Accepts client connections, reads requests, passes them to a Front and writes the answers. Bounds the
+// number of connections, the memory for bodies and the time for each phase. Entry type: Listener. Not
+// thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <algorithm>
@@ -20,34 +22,38 @@
 public:
     struct Limits {
         std::size_t connections = 400;
-        std::size_t clients_hold = 300;     // the most that the clients' end holds for requests
-        std::size_t body_bytes = 16 << 20;  // of all requests held at a time
-        Millis write_time = 5000;  // for an answer, or a piece of a paced one, that the client does not read
+        std::size_t clients_hold = 300;     // connections that clients hold at most at their end for requests
+        std::size_t body_bytes = 16 << 20;  // of all pending requests together
+        // ms that an answer, or one piece of a paced answer, may wait for the client to read it.
+        Millis write_time = 5000;
     };
-    // `link`: by which long answers take turns; none: each is written as fast as its client reads.
+    // `link`: paces long answers over a shared link; null: each answer is written as fast as its client
+    // reads.
     Listener(asio::io_context& io, const Clock& clock, Front& front, Limits limits,
              PacedLink* link = nullptr);
     ~Listener();
 
-    void listen(const tcp::endpoint& at);  // throws if it can't
+    void listen(const tcp::endpoint& at);  // throws if it can't bind
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    void limit(const Limits& limits) { limits_ = limits; }  // what is over closes as it would by itself
+    // Changes the limits. Connections over a lowered limit are not closed at once but by the usual rules.
+    void limit(const Limits& limits) { limits_ = limits; }
 
-    // From now on each answer closes its connection, and idle ones are closed; new ones are still taken.
+    // From now on idle connections are closed and each answer closes its connection. New connections are
+    // still accepted.
     void drain();
-    // No new ones either. What waits in the kernel is taken first.
+    // Also stops accepting connections, after accepting those in the kernel's backlog.
     void stop_accepting();
-    // Connections with a request being read, served or answered.
+    // Whether there are connections left, with or without a request.
     bool busy() const;
     std::size_t connections() const { return sessions_.size(); }
 
-    // A connection with a request on it, for whoever asks what is held and why it has not ended.
+    // A request that is not completed, for diagnostics.
     struct OpenRequest {
         enum class Stage { reading, waiting, answering };
         Stage stage;
-        std::string name;             // as the front names it in logs; empty while it is read
-        Millis age = 0;               // since its first byte
-        std::size_t answer_left = 0;  // bytes that the kernel has not taken, as far as that is known
+        std::string name;             // the front end's name for log lines; empty while it is read
+        Millis age = 0;               // ms since its first byte
+        std::size_t answer_left = 0;  // bytes not accepted by the kernel, as far as known
     };
     std::vector<OpenRequest> open_requests() const;
 
@@ -55,32 +61,33 @@
     class Session;
     using Sessions = std::list<std::shared_ptr<Session>>;
 
-    // What a connection is held for. Lingering and closed ones are held for nobody.
-    enum class Account { silent, kept, busy, none };
-    static constexpr std::size_t kAccounts = 3;  // but for none, which is not counted
-    void book(Account account, std::size_t more) {
-        if (account != Account::none) held_[static_cast<std::size_t>(account)] += more;
+    // What a connection is used for: no complete request yet, kept alive between requests, or with a request.
+    // Lingering and closed connections are `none` and not counted.
+    enum class Usage { unused, kept_alive, busy, none };
+    static constexpr std::size_t kCountedUsages = 3;
+    void adjust_count(Usage usage, std::size_t delta) {
+        if (usage != Usage::none) counts_[static_cast<std::size_t>(usage)] += delta;
     }
 
     void accept();
-    bool make_room();
-    template <class Wanted>
-    bool let_go(Wanted wanted);
-    void admit(tcp::socket socket);
+    bool evict_any();
+    template <class Predicate>
+    bool evict(Predicate candidate);
+    void add_session(tcp::socket socket);
     void closed(Session& session);
     void sweep();
-    std::size_t held(Account account) const { return held_[static_cast<std::size_t>(account)]; }
-    // Clients hold only so many connections, and a new request that finds no place at their end never gets
-    // here. So of the places that open requests leave them, half at most may be taken by connections kept
-    // between requests: past that an answer closes its connection. Ones that never asked are not counted in:
-    // they have the account below.
-    bool crowded() const {
-        return held(Account::kept) * 2 + held(Account::busy) > limits_.clients_hold ||
+    std::size_t count(Usage usage) const { return counts_[static_cast<std::size_t>(usage)]; }
+    // Clients hold a limited number of connections, and a request for which a client finds no free one never
+    // arrives here. Therefore kept-alive connections may take at most half of the places that open requests
+    // leave; beyond that, an answer closes its connection. Unused connections are not included:
+    // too_many_unused() bounds them.
+    bool near_limit() const {
+        return count(Usage::kept_alive) * 2 + count(Usage::busy) > limits_.clients_hold ||
                sessions_.size() * 8 > limits_.connections * 7;
     }
-    // Ones that never asked must not take the places that clients' requests have a claim to.
-    bool too_silent() const {
-        return held(Account::silent) + std::min(limits_.clients_hold, limits_.connections * 3 / 4) >
+    // Connections without a request must not take the places reserved for clients' requests.
+    bool too_many_unused() const {
+        return count(Usage::unused) + std::min(limits_.clients_hold, limits_.connections * 3 / 4) >
                limits_.connections;
     }
 
@@ -90,14 +97,14 @@
     Limits limits_;
     PacedLink* const link_;
     tcp::acceptor acceptor_;
-    asio::steady_timer retry_, sweep_;
-    Sessions sessions_;                          // those quiet longest come first
-    std::array<std::size_t, kAccounts> held_{};  // connections, by account
-    std::unordered_set<std::string> open_;       // ids of the requests that await their answer
-    std::size_t body_bytes_ = 0;                 // claimed by requests held
+    asio::steady_timer accept_retry_timer_, sweep_timer_;
+    Sessions sessions_;                                 // least recently active first
+    std::array<std::size_t, kCountedUsages> counts_{};  // connections, by usage
+    std::unordered_set<std::string> open_ids_;          // of the requests that await their answer
+    std::size_t body_bytes_ = 0;                        // reserved by pending requests
     bool draining_ = false;
     bool accepting_ = false;
-    bool paused_ = false;  // out of descriptors
+    bool accept_paused_ = false;  // out of descriptors
     bool stopped_ = false;
 };
 
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -11,44 +11,47 @@
 
 namespace {
 
-// New connections go on coming for a while after the signal.
-constexpr std::chrono::milliseconds kAcceptOn{600}, kLook{10};
-// What is still held by then has passed every deadline; the kill is near.
-constexpr Millis kLastMoment = 500;
+// New connections keep arriving for a while after the signal.
+constexpr std::chrono::milliseconds kDrainAcceptTime{600}, kStopPollInterval{10};
+// Added to the longest deadline: requests still open by then have passed every deadline, and the process is
+// about to be killed.
+constexpr Millis kStopMarginMs = 500;
 
-// Descriptors for all but connections: the log, the loop, the listener, discovery, peers, and some to spare.
-constexpr std::size_t kSpare = 32;
-// What a server sends behind its answer follows it at once; within this it has been noticed.
-constexpr Millis kSettle = 2;
+// Descriptors reserved for everything but connections: log, event loop, listener, discovery, peers, and a
+// margin.
+constexpr std::size_t kReservedDescriptors = 32;
+// Surplus data behind a server's answer arrives right after it and is noticed within this time.
+constexpr Millis kSettleMs = 2;
 
 std::size_t connections(const Config& config) {
     rlimit limit{};
-    std::size_t most = config.sockets;
-    if (getrlimit(RLIMIT_NOFILE, &limit) == 0) most = std::min<std::size_t>(most, limit.rlim_cur);
-    return std::max(most, kSpare + 16) - kSpare;
+    std::size_t max_connections = config.sockets;
+    if (getrlimit(RLIMIT_NOFILE, &limit) == 0)
+        max_connections = std::min<std::size_t>(max_connections, limit.rlim_cur);
+    return std::max(max_connections, kReservedDescriptors + 16) - kReservedDescriptors;
 }
-std::size_t part(std::size_t of, double share) {
-    return static_cast<std::size_t>(static_cast<double>(of) * share);
+std::size_t fraction_of(std::size_t total, double fraction) {
+    return static_cast<std::size_t>(static_cast<double>(total) * fraction);
 }
-std::size_t from_clients(const Config& config, const Shares& shares) {
-    return part(connections(config), shares.client_descriptors);
+std::size_t client_connections(const Config& config, const ResourceShares& shares) {
+    return fraction_of(connections(config), shares.client_descriptors);
 }
-std::size_t to_servers(const Config& config, const Shares& shares) {
-    return connections(config) - from_clients(config, shares);
+std::size_t server_connections(const Config& config, const ResourceShares& shares) {
+    return connections(config) - client_connections(config, shares);
 }
-Listener::Limits limits(const Config& config, const Shares& shares) {
-    return {from_clients(config, shares) - 1,  // it takes one over the limit
-            part(config.sockets, shares.clients_hold),
-            std::max<std::size_t>(kMaxBody, part(config.memory_mb << 20, shares.body_memory))};
+Listener::Limits limits(const Config& config, const ResourceShares& shares) {
+    return {client_connections(config, shares) - 1,  // the listener accepts one connection over its limit
+            fraction_of(config.sockets, shares.clients_hold),
+            std::max<std::size_t>(kMaxBody, fraction_of(config.memory_mb << 20, shares.body_memory))};
 }
 
 }  // namespace
 
-Node::Node(asio::io_context& io, Config config, Shares shares)
+Node::Node(asio::io_context& io, Config config, ResourceShares shares)
     : io_(io),
       config_(std::move(config)),
       sidecar_(io, clock_, config_,
-               {config_.connect_timeout, config_.idle_close, to_servers(config_, shares), kSettle}),
+               {config_.connect_timeout, config_.idle_close, server_connections(config_, shares), kSettleMs}),
       front_(sidecar_),
       listener_(io, clock_, front_, limits(config_, shares)),
       discovery_(io, config_,
@@ -75,21 +78,21 @@
 void Node::stop(std::function<void()> done) {
     if (stopped_) return;
     stopped_ = std::move(done);
-    stop_at_ = clock_.now() + config_.longest_deadline + kLastMoment;
+    stop_at_ = clock_.now() + config_.longest_deadline + kStopMarginMs;
     front_.drain();
     listener_.drain();
-    timer_.expires_after(kAcceptOn);
+    timer_.expires_after(kDrainAcceptTime);
     timer_.async_wait([this](error_code ec) {
         if (ec) return;
         listener_.stop_accepting();
-        wind_down();
+        finish_stop();
     });
 }
 
-void Node::reload(const Shares& shares) {
-    discovery_.move_to(reload_discovery());
+void Node::reload(const ResourceShares& shares) {
+    discovery_.set_endpoint(reload_discovery());
     listener_.limit(limits(config_, shares));
-    sidecar_.limit_connections(to_servers(config_, shares));
+    sidecar_.limit_connections(server_connections(config_, shares));
     tally_seconds_ = shares.tally_seconds;
     tally();
 }
@@ -106,14 +109,14 @@
     });
 }
 
-void Node::wind_down() {
+void Node::finish_stop() {
     if ((!listener_.busy() && sidecar_.unanswered() == 0) || clock_.now() >= stop_at_) {
         log_line("tally", sidecar_.tally());
         return stopped_();
     }
-    timer_.expires_after(kLook);
+    timer_.expires_after(kStopPollInterval);
     timer_.async_wait([this](error_code ec) {
-        if (!ec) wind_down();
+        if (!ec) finish_stop();
     });
 }
 
--- a/src/net/node.hpp
+++ b/src/net/node.hpp
@@ -1,4 +1,5 @@
-// All the parts of one sidecar, wired together.
+// One complete sidecar: wires up listener, sidecar, discovery and peers. Entry type: Node. Not thread-safe:
+// runs on the io_context's thread.
 #pragma once
 
 #include <functional>
@@ -7,30 +8,31 @@
 #include "net/discovery.hpp"
 #include "net/listener.hpp"
 #include "net/peers.hpp"
-#include "net/shares.hpp"
+#include "net/resource_shares.hpp"
 #include "net/sidecar_front.hpp"
 
 namespace cobaltshift {
 
 class Node {
 public:
-    Node(asio::io_context& io, Config config, Shares shares = {});  // throws if it can't listen
+    Node(asio::io_context& io, Config config, ResourceShares shares = {});  // throws if it can't bind
     tcp::endpoint endpoint() const { return listener_.endpoint(); }
 
-    // A planned stop: serves on while clients are still sent here, then finishes what it holds.
+    // Graceful shutdown: keeps accepting connections for a while, as clients are still being sent here, then
+    // completes the open requests and calls `done`.
     void stop(std::function<void()> done);
 
-    // The file of the configuration or the settings have changed. Of the former only discovery's address is
-    // taken. Throws ConfigError, and then nothing has changed.
-    void reload(const Shares& shares);
+    // Applies changes in the configuration file and in the settings. Of the configuration only discovery's
+    // address is reloaded. Throws ConfigError if the file is invalid; then nothing has changed.
+    void reload(const ResourceShares& shares);
 
-    Sidecar::Held held() const { return sidecar_.held(); }
+    Sidecar::ObjectCounts object_counts() const { return sidecar_.object_counts(); }
     Sidecar& sidecar() { return sidecar_; }
     const Clock& clock() const { return clock_; }
     const Config& config() const { return config_; }
 
 private:
-    void wind_down();
+    void finish_stop();
     void tally();
 
     asio::io_context& io_;
--- a/src/net/paced_link.cpp
+++ b/src/net/paced_link.cpp
@@ -5,16 +5,16 @@
 namespace cobaltshift {
 
 namespace {
-// Ahead of the link by this much at most, in pieces of as much: what comes short waits no longer for its
-// turn.
-constexpr Millis kAhead = 16;
-constexpr std::size_t kLeastPiece = 8 * 1024;
+// The most link time handed to the kernel in advance, and the link time of one piece. A short answer waits at
+// most this long behind a piece.
+constexpr Millis kMaxLeadMs = 16;
+constexpr std::size_t kMinPieceBytes = 8 * 1024;
 
 SendScheduler::Settings settings_for(double bytes_per_ms) {
     SendScheduler::Settings settings;
     settings.bytes_per_ms = bytes_per_ms;
-    settings.ahead = kAhead;
-    settings.piece = std::max(kLeastPiece, static_cast<std::size_t>(bytes_per_ms * kAhead));
+    settings.ahead = kMaxLeadMs;
+    settings.piece = std::max(kMinPieceBytes, static_cast<std::size_t>(bytes_per_ms * kMaxLeadMs));
     settings.long_from = settings.piece;
     return settings;
 }
@@ -29,81 +29,81 @@
 
 PacedLink::~PacedLink() { *alive_ = false; }
 
-PacedLink::Write PacedLink::write(tcp::socket& socket, std::string bytes, Millis urgent_at,
-                                  std::function<void(error_code)> done) {
-    const Write write = scheduler_.add(bytes.size(), urgent_at);
-    writing_[write] = {&socket, std::move(bytes), clock_.now(), {}, 0, std::move(done)};
+PacedLink::WriteId PacedLink::write(tcp::socket& socket, std::string bytes, Millis urgent_at,
+                                    std::function<void(error_code)> done) {
+    const WriteId id = scheduler_.add(bytes.size(), urgent_at);
+    writes_[id] = {&socket, std::move(bytes), clock_.now(), {}, 0, std::move(done)};
     asio::post(io_, [this, alive = alive_] {
-        if (*alive) pump();
+        if (*alive) write_granted();
     });
-    return write;
+    return id;
 }
 
-void PacedLink::withdraw(Write write) {
-    scheduler_.remove(write);
-    writing_.erase(write);
+void PacedLink::cancel(WriteId id) {
+    scheduler_.remove(id);
+    writes_.erase(id);
 }
 
 void PacedLink::release() {
     scheduler_.release();
-    pump();
+    write_granted();
 }
 
-std::size_t PacedLink::left(Write write) const {
-    const auto at = writing_.find(write);
-    return at == writing_.end() ? 0 : at->second.bytes.size() - at->second.done;
+std::size_t PacedLink::unsent_bytes(WriteId id) const {
+    const auto at = writes_.find(id);
+    return at == writes_.end() ? 0 : at->second.bytes.size() - at->second.written_bytes;
 }
 
-std::optional<Millis> PacedLink::unread_since(Write write) const {
-    const auto at = writing_.find(write);
-    return at == writing_.end() ? std::nullopt : at->second.piece_since;
+std::optional<Millis> PacedLink::piece_pending_since(WriteId id) const {
+    const auto at = writes_.find(id);
+    return at == writes_.end() ? std::nullopt : at->second.piece_started_at;
 }
 
-void PacedLink::count(const Writing& finished) {
-    const Millis waited = clock_.now() - finished.since;
+void PacedLink::record_wait(const PendingWrite& write) {
+    const Millis waited = clock_.now() - write.queued_at;
     ++waits_.answers;
     if (waited <= waits_.longest) return;
     waits_.longest = waited;
-    waits_.longest_bytes = finished.bytes.size();
+    waits_.longest_bytes = write.bytes.size();
 }
 
-void PacedLink::pump() {
+void PacedLink::write_granted() {
     while (const auto grant = scheduler_.next(clock_.now())) {
-        Writing& one = writing_.at(grant->id);
-        one.piece_since = clock_.now();
-        const auto piece = asio::buffer(one.bytes.data() + one.done, grant->bytes);
-        // The bytes stay where they are until the operation ends, though the answer may be withdrawn before.
-        auto keep = std::make_shared<std::string>(static_cast<const char*>(piece.data()), piece.size());
-        const auto buffer = asio::buffer(*keep);
-        asio::async_write(*one.socket, buffer,
-                          [this, alive = alive_, id = grant->id, keep](error_code ec, std::size_t n) {
-                              if (*alive) wrote(id, ec, n);
+        PendingWrite& write = writes_.at(grant->id);
+        write.piece_started_at = clock_.now();
+        const auto source = asio::buffer(write.bytes.data() + write.written_bytes, grant->bytes);
+        // The operation owns a copy of the bytes: the write may be cancelled before the operation completes.
+        auto owned = std::make_shared<std::string>(static_cast<const char*>(source.data()), source.size());
+        const auto buffer = asio::buffer(*owned);
+        asio::async_write(*write.socket, buffer,
+                          [this, alive = alive_, id = grant->id, owned](error_code ec, std::size_t n) {
+                              if (*alive) on_piece_written(id, ec, n);
                           });
     }
     const auto due = scheduler_.due();
-    if (!due || *due == armed_for_) return;
-    armed_for_ = *due;
+    if (!due || *due == timer_due_) return;
+    timer_due_ = *due;
     timer_.expires_at(clock_.point(*due));
     timer_.async_wait([this, alive = alive_](error_code ec) {
         if (ec || !*alive) return;
-        armed_for_ = 0;
-        pump();
+        timer_due_ = 0;
+        write_granted();
     });
 }
 
-void PacedLink::wrote(Write write, error_code ec, std::size_t bytes) {
-    const auto at = writing_.find(write);
-    if (at == writing_.end()) return;  // withdrawn
-    at->second.done += bytes;
-    at->second.piece_since.reset();
-    if (ec) scheduler_.remove(write);
-    if (ec || scheduler_.finished(write)) {
-        if (!ec) count(at->second);
-        const auto done = std::move(at->second.finished);
-        writing_.erase(at);
+void PacedLink::on_piece_written(WriteId id, error_code ec, std::size_t bytes) {
+    const auto at = writes_.find(id);
+    if (at == writes_.end()) return;  // cancelled meanwhile
+    at->second.written_bytes += bytes;
+    at->second.piece_started_at.reset();
+    if (ec) scheduler_.remove(id);
+    if (ec || scheduler_.finished(id)) {
+        if (!ec) record_wait(at->second);
+        const auto done = std::move(at->second.on_done);
+        writes_.erase(at);
         done(ec);
     }
-    pump();
+    write_granted();
 }
 
 }  // namespace cobaltshift
--- a/src/net/paced_link.hpp
+++ b/src/net/paced_link.hpp
@@ -1,6 +1,7 @@
-// Writes answers to sockets that share one machine's link, in the order and at the rate that SendScheduler
-// says. Entry type: PacedLink, one for all that leaves a process over that link. Called by Listener. Not used
-// where no rate is known: a Listener without one writes as it always did.
+// Writes long answers to the sockets that share one machine's link, in the order and at the rate that
+// SendScheduler determines. Entry type: PacedLink; one instance serves all listeners of a process on that
+// link. Used by Listener. If the link's rate is not known, a Listener works without a PacedLink and writes
+// every answer directly. Not thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <functional>
@@ -18,7 +19,7 @@
 
 class PacedLink {
 public:
-    // `bytes_per_ms` of the link, over 0.
+    // `bytes_per_ms`: rate of the link, greater than 0.
     PacedLink(asio::io_context& io, const Clock& clock, double bytes_per_ms);
     ~PacedLink();
     PacedLink(const PacedLink&) = delete;
@@ -26,54 +27,58 @@
 
     bool is_long(std::size_t bytes) const { return scheduler_.is_long(bytes); }
     std::size_t long_from() const { return scheduler_.long_from(); }
-    // A short answer is being written by its owner.
+    // Accounts for a short answer that the caller writes itself.
     void sent(std::size_t bytes) { scheduler_.sent(clock_.now(), bytes); }
-    // Writes `bytes` by turns, urgent from `urgent_at` on; `done` once all is with the kernel, or with the
-    // error that ended it, unless withdrawn before. `socket` must live until then.
-    using Write = SendScheduler::Id;
-    Write write(tcp::socket& socket, std::string bytes, Millis urgent_at,
-                std::function<void(error_code)> done);
-    void withdraw(Write write);
-    // No more turns: what waits and what comes is handed to the kernel at once, before the process ends.
+    // Queues `bytes` for `socket`; the write becomes urgent at `urgent_at`. `done` is called once the kernel
+    // has accepted all bytes, or with the error that ended the write; never after cancel(). `socket` must
+    // live until then.
+    using WriteId = SendScheduler::Id;
+    WriteId write(tcp::socket& socket, std::string bytes, Millis urgent_at,
+                  std::function<void(error_code)> done);
+    void cancel(WriteId id);
+    // Ends pacing: hands everything queued now or later to the kernel at once. Called before the process
+    // exits.
     void release();
-    // Bytes of it that the kernel has not taken.
-    std::size_t left(Write write) const;
-    // Since when a piece of it waits for its reader; none: it waits for its turn.
-    std::optional<Millis> unread_since(Write write) const;
+    // Bytes of the write that the kernel has not accepted.
+    std::size_t unsent_bytes(WriteId id) const;
+    // When the piece being written was handed to the socket, which waits for its reader; none: the write is
+    // queued for the link.
+    std::optional<Millis> piece_pending_since(WriteId id) const;
 
-    // What long answers waited from write() until the kernel had all of them, since this was asked last.
+    // Time from write() until the kernel had the whole answer, over the long answers completed since the last
+    // take_wait_stats().
     struct Waits {
         std::uint64_t answers = 0;
         Millis longest = 0;
-        std::size_t longest_bytes = 0;  // of the answer that waited longest
+        std::size_t longest_bytes = 0;  // size of the answer that waited longest
     };
     Waits take_waits() { return std::exchange(waits_, {}); }
 
-    // How long the link is taken by what waits for it, in ms.
+    // How long the link needs for everything sent and queued, in ms.
     Millis backlog() const { return scheduler_.backlog(clock_.now()); }
     double bytes_per_ms() const { return bytes_per_ms_; }
 
 private:
-    struct Writing {
+    struct PendingWrite {
         tcp::socket* socket;
         std::string bytes;
-        Millis since = 0;
-        std::optional<Millis> piece_since;  // while the kernel has not taken the piece granted last
-        std::size_t done = 0;
-        std::function<void(error_code)> finished;
+        Millis queued_at = 0;
+        std::optional<Millis> piece_started_at;  // while the kernel has not accepted the piece granted last
+        std::size_t written_bytes = 0;
+        std::function<void(error_code)> on_done;
     };
-    void pump();
-    void wrote(Write write, error_code ec, std::size_t bytes);
-    void count(const Writing& finished);
+    void write_granted();
+    void on_piece_written(WriteId id, error_code ec, std::size_t bytes);
+    void record_wait(const PendingWrite& write);
 
     asio::io_context& io_;
     const Clock& clock_;
     const double bytes_per_ms_;
     SendScheduler scheduler_;
-    std::unordered_map<Write, Writing> writing_;
+    std::unordered_map<WriteId, PendingWrite> writes_;
     Waits waits_;
     asio::steady_timer timer_;
-    Millis armed_for_ = 0;
+    Millis timer_due_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/path.cpp
+++ b/src/net/path.cpp
@@ -6,40 +6,41 @@
 
 namespace {
 
-std::optional<int> hex(char c) {
+std::optional<int> hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     if (c >= 'A' && c <= 'F') return c - 'A' + 10;
     return {};
 }
 
-// Bytes that some decoders take for ASCII written long: C0 and C1 always, E0 and F0 before a low one; F5 and
-// above begin nothing at all.
-bool overlong(int byte, int before) {
+// Bytes that some decoders accept as part of an overlong encoding of ASCII: C0 and C1 always, a low
+// continuation byte after E0 or F0. F5 and above never start a valid sequence.
+bool is_overlong(int byte, int previous) {
     if (byte == 0xc0 || byte == 0xc1 || byte >= 0xf5) return true;
-    return (before == 0xe0 && byte >= 0x80 && byte < 0xa0) || (before == 0xf0 && byte >= 0x80 && byte < 0x90);
+    return (previous == 0xe0 && byte >= 0x80 && byte < 0xa0) ||
+           (previous == 0xf0 && byte >= 0x80 && byte < 0x90);
 }
 
 const char* segment_fault(std::string_view segment) {
     if (segment.empty()) return "an empty segment";
-    int before = 0;
+    int previous = 0;
     for (std::size_t i = 0; i < segment.size(); ++i) {
         int byte = static_cast<unsigned char>(segment[i]);
         if (byte == '\\') return "a backslash";
         if (byte == '%') {
-            const auto high = i + 2 < segment.size() ? hex(segment[i + 1]) : std::nullopt;
-            const auto low = high ? hex(segment[i + 2]) : std::nullopt;
+            const auto high = i + 2 < segment.size() ? hex_digit(segment[i + 1]) : std::nullopt;
+            const auto low = high ? hex_digit(segment[i + 2]) : std::nullopt;
             if (!low) return "a percent sign that encodes nothing";
             byte = *high * 16 + *low;
             i += 2;
             if (byte == '.' || byte == '/' || byte == '\\' || byte == '%')
                 return "an encoded dot, slash, backslash or percent sign";
             if (byte < 0x20 || byte == 0x7f) return "an encoded control character";
-            if (overlong(byte, before)) return "overlong UTF-8";
+            if (is_overlong(byte, previous)) return "overlong UTF-8";
         }
-        before = byte;
+        previous = byte;
     }
-    // Some servers cut parameters off before they resolve dots.
+    // Some servers strip parameters before they resolve dot segments.
     const std::string_view name = segment.substr(0, segment.find(';'));
     if (name == "." || name == "..") return "a dot segment";
     return nullptr;
--- a/src/net/path.hpp
+++ b/src/net/path.hpp
@@ -1,16 +1,16 @@
-// Spellings of a request's path that a server behind could read as another path than we do. The class, and so
-// what may be repeated, is taken from the path's first segment: a server that resolved dot segments or
-// decoded an encoded slash would run something else under it.
+// Detects request paths that a server could interpret differently from this proxy. The request class, and
+// with it whether a request may be repeated, follows from the first path segment: a server that resolves dot
+// segments or decodes an encoded slash would execute a request of another class.
 #pragma once
 
 #include <string_view>
 
 namespace cobaltshift {
 
-// Why this target in origin form (RFC 9112 3.2.1) could mean another path: a fragment, a backslash, an empty
-// or dot segment (with parameters too), a percent sign that encodes no byte, or encoded: a dot, slash,
-// backslash, percent sign, control character or a byte of overlong UTF-8 (RFC 3629). Null: it means what it
-// says. What follows the first '?' is not looked at but for '#'.
+// The reason why a target in origin form (RFC 9112 3.2.1) is ambiguous, or null if it is not. Rejected are a
+// fragment, a backslash, an empty or dot segment (also one with parameters), a percent sign that is not
+// followed by two hex digits, and a percent-encoded dot, slash, backslash, percent sign, control character or
+// byte of overlong UTF-8 (RFC 3629). The query is checked for '#' only.
 const char* path_fault(std::string_view target);
 
 }  // namespace cobaltshift
--- a/src/net/peers.hpp
+++ b/src/net/peers.hpp
@@ -1,4 +1,5 @@
-// Datagrams between sidecars of the tier: short, and late or lost without harm.
+// Datagrams between the sidecars of one tier. Messages are short; losing or delaying one does no harm. Entry
+// type: Peers. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -13,20 +14,22 @@
 
 class Peers {
 public:
-    using Heard = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
-    Peers(asio::io_context& io, const Config& config, Heard heard);  // throws if it can't listen
+    using MessageHandler = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
+    Peers(asio::io_context& io, const Config& config, MessageHandler on_message);  // throws if it can't bind
 
-    void tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
+    // Sends to peer `to`, or to all peers through `peers_all` if there is none. Best effort: errors are
+    // ignored, and a message over 256 bytes is logged and dropped.
+    void send(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
 
 private:
-    static constexpr std::size_t kLongest = 256;
-    void listen();
+    static constexpr std::size_t kMaxMessageBytes = 256;
+    void receive();
 
     const Config& config_;
-    Heard heard_;
+    MessageHandler on_message_;
     udp::socket socket_;
-    udp::endpoint from_;
-    std::array<std::uint8_t, kLongest + 1> bytes_{};  // one more shows what is over-long
+    udp::endpoint sender_;
+    std::array<std::uint8_t, kMaxMessageBytes + 1> bytes_{};  // one byte more, to detect longer datagrams
 };
 
 }  // namespace cobaltshift
--- a/src/net/send_scheduler.cpp
+++ b/src/net/send_scheduler.cpp
@@ -11,7 +11,7 @@
 SendScheduler::Id SendScheduler::add(std::size_t bytes, Millis urgent_at) {
     const Id id = next_id_++;
     answers_[id] = {urgent_at, bytes};
-    wait(id, answers_[id]);
+    enqueue(id, answers_[id]);
     queued_bytes_ += bytes;
     return id;
 }
@@ -19,51 +19,52 @@
 bool SendScheduler::finished(Id id) {
     const auto at = answers_.find(id);
     if (at == answers_.end()) return true;
-    if (at->second.left == 0) {
+    if (at->second.remaining_bytes == 0) {
         answers_.erase(at);
         return true;
     }
-    wait(id, at->second);
+    enqueue(id, at->second);
     return false;
 }
 
 void SendScheduler::remove(Id id) {
     const auto at = answers_.find(id);
     if (at == answers_.end()) return;
-    stop_waiting(id, at->second);
-    queued_bytes_ -= at->second.left;
+    dequeue(id, at->second);
+    queued_bytes_ -= at->second.remaining_bytes;
     answers_.erase(at);
 }
 
-void SendScheduler::wait(Id id, const Answer& answer) {
-    by_left_.emplace(answer.left, id);
+void SendScheduler::enqueue(Id id, const QueuedAnswer& answer) {
+    by_remaining_.emplace(answer.remaining_bytes, id);
     by_urgency_.emplace(answer.urgent_at, id);
 }
 
-void SendScheduler::stop_waiting(Id id, const Answer& answer) {
-    by_left_.erase({answer.left, id});
+void SendScheduler::dequeue(Id id, const QueuedAnswer& answer) {
+    by_remaining_.erase({answer.remaining_bytes, id});
     by_urgency_.erase({answer.urgent_at, id});
 }
 
-SendScheduler::Id SendScheduler::next_in_turn(Millis now) const {
+SendScheduler::Id SendScheduler::select_next(Millis now) const {
     const auto& [urgent_at, most_urgent] = *by_urgency_.begin();
-    return urgent_at <= now ? most_urgent : by_left_.begin()->second;
+    return urgent_at <= now ? most_urgent : by_remaining_.begin()->second;
 }
 
 std::optional<SendScheduler::Grant> SendScheduler::next(Millis now) {
-    if (by_left_.empty() || (!released_ && now + settings_.ahead < link_free_at_)) return {};
-    const Id id = next_in_turn(now);
-    Answer& answer = answers_.at(id);
-    stop_waiting(id, answer);
-    const std::size_t granted = released_ ? answer.left : std::min(settings_.piece, answer.left);
-    answer.left -= granted;
+    if (by_remaining_.empty() || (!released_ && now + settings_.ahead < link_free_at_)) return {};
+    const Id id = select_next(now);
+    QueuedAnswer& answer = answers_.at(id);
+    dequeue(id, answer);
+    const std::size_t granted =
+        released_ ? answer.remaining_bytes : std::min(settings_.piece, answer.remaining_bytes);
+    answer.remaining_bytes -= granted;
     queued_bytes_ -= granted;
     sent(now, granted);
     return Grant{id, granted};
 }
 
 std::optional<SendScheduler::Millis> SendScheduler::due() const {
-    if (by_left_.empty()) return {};
+    if (by_remaining_.empty()) return {};
     return link_free_at_ - settings_.ahead;
 }
 
--- a/src/net/send_scheduler.hpp
+++ b/src/net/send_scheduler.hpp
@@ -1,14 +1,17 @@
-// Shares one machine's link among the answers that leave it, so that a short answer never waits behind long
-// ones. Short answers go out at once; long ones in pieces, only as far ahead as the link carries in `ahead`.
-// The one with the least left has the next turn, which ends most answers soonest; but on a full link it would
-// let a long answer be passed by all that come after it, so each has a moment from which it is urgent, and
-// the one that is urgent longest goes before all others. Entry type: SendScheduler. Called by a Listener that
-// was given one; free of I/O: time is an argument, what may be written comes out.
+// Schedules the answers that leave over one machine's link, so that short answers do not wait behind long
+// ones. Short answers are written at once. Long answers are written in pieces, and no more than `max_lead`
+// milliseconds of link time is handed to the kernel in advance. The answer with the fewest remaining bytes is
+// served first, which completes most answers soonest. On a saturated link that order alone would starve long
+// answers, so each answer becomes urgent at a given time; urgent answers go before all others, those urgent
+// longest first.
+//
+// Entry type: SendScheduler. Used by Listener through PacedLink. Performs no I/O: the time is an argument,
+// and next() returns what may be written. Not thread-safe.
 //
 // Invariants:
-//   an urgent answer waits for none but those urgent before it, and the piece that is being written
-//   no more than `ahead` of link time is handed to the kernel in advance of what the link can have carried
-//   a waiting answer is granted one piece at a time, and none once it was removed
+//   - an urgent answer waits only for answers that became urgent before it and for the piece being written;
+//   - at most `max_lead` of link time is handed to the kernel beyond what the link can have carried;
+//   - a queued answer is granted one piece at a time, and none after it was removed.
 #pragma once
 
 #include <cstddef>
@@ -24,13 +27,13 @@
 
 class SendScheduler {
 public:
-    using Millis = double;  // steady, from any origin
+    using Millis = double;  // monotonic time, from any origin
     using Id = std::uint64_t;
     struct Settings {
-        double bytes_per_ms = 0;           // of the link
-        std::size_t long_from = 8 * 1024;  // bytes of an answer; shorter ones are not held back
-        std::size_t piece = 8 * 1024;      // bytes handed to the kernel at a time
-        Millis ahead = 12;                 // of link time
+        double bytes_per_ms = 0;           // rate of the link
+        std::size_t long_from = 8 * 1024;  // answers of at least this many bytes are scheduled
+        std::size_t piece = 8 * 1024;      // bytes handed to the kernel per grant
+        Millis ahead = 12;                 // link time that may be handed to the kernel in advance
     };
     struct Grant {
         Id id;
@@ -41,41 +44,42 @@
 
     bool is_long(std::size_t bytes) const { return bytes >= settings_.long_from; }
     std::size_t long_from() const { return settings_.long_from; }
-    // A short answer was written.
+    // Accounts for a short answer that was written without being scheduled.
     void sent(Millis now, std::size_t bytes);
-    // A long answer waits to be written, and is urgent from `urgent_at` on. Its id is good until finished()
-    // or remove().
+    // Queues a long answer that becomes urgent at `urgent_at`. The id is valid until on_piece_written()
+    // returns true or remove() is called.
     Id add(std::size_t bytes, Millis urgent_at);
-    // The piece granted last has been taken by the kernel; true: all of it has, and the id is no more.
+    // Reports that the kernel has accepted the piece granted last, and queues the rest for another grant.
+    // Returns true if the answer is complete or was removed; the id is then no longer valid.
     bool finished(Id id);
     void remove(Id id);
 
-    // From now on all that waits, and all that comes, may be written at once and whole: the process ends
-    // soon, and what is with the kernel by then still leaves.
+    // Ends pacing: from now on every answer is granted at once and whole. Used shortly before the process
+    // exits, as the kernel still delivers what it holds by then.
     void release() { released_ = true; }
 
-    // Who may write now; none: nobody, look again at due().
+    // The answer that may write now, and how much; none: try again at due().
     std::optional<Grant> next(Millis now);
-    // When next() may grant something; none: nobody waits.
+    // The time at which next() may grant something; none: no answer is queued.
     std::optional<Millis> due() const;
-    // Of long answers, not yet handed to the kernel.
+    // Bytes of long answers that have not been granted yet.
     std::size_t queued_bytes() const { return queued_bytes_; }
-    // How long the link is taken by what it has and what is queued, in ms from `now`.
+    // How long the link needs for everything sent and queued, in ms from `now`.
     Millis backlog(Millis now) const;
 
 private:
-    struct Answer {
+    struct QueuedAnswer {
         Millis urgent_at = 0;
-        std::size_t left = 0;
+        std::size_t remaining_bytes = 0;
     };
-    void wait(Id id, const Answer& answer);
-    void stop_waiting(Id id, const Answer& answer);
-    Id next_in_turn(Millis now) const;
+    void enqueue(Id id, const QueuedAnswer& answer);
+    void dequeue(Id id, const QueuedAnswer& answer);
+    Id select_next(Millis now) const;
 
     const Settings settings_;
-    std::map<Id, Answer> answers_;
-    // Those that wait for their turn; of two that are alike the older first.
-    std::set<std::pair<std::size_t, Id>> by_left_;
+    std::map<Id, QueuedAnswer> answers_;
+    // The answers without an outstanding grant, in both orders; ties go to the older answer.
+    std::set<std::pair<std::size_t, Id>> by_remaining_;
     std::set<std::pair<Millis, Id>> by_urgency_;
     Id next_id_ = 1;
     std::size_t queued_bytes_ = 0;
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -46,10 +46,10 @@
     if (config_.known) told(*config_.known, true);
 }
 
-Sidecar::Held Sidecar::held() const {
+Sidecar::ObjectCounts Sidecar::object_counts() const {
     const Balancer::Held module = caller_.balancer().held();
-    return {caller_.requests() + module.requests, upstream_.out(), caller_.servers().size(), module.servers,
-            upstream_.pools()};
+    return {caller_.requests() + module.requests, upstream_.in_flight(), caller_.servers().size(),
+            module.servers, upstream_.pools()};
 }
 
 std::string Sidecar::tally() const { return tally_line(caller_.balancer().tally(), upstream_.counts()); }
@@ -94,7 +94,7 @@
     caller_.push(PeerMessage{from, std::move(bytes)});
 }
 
-// ---- What the caller's core asks of sockets ---------------------------------------------------------------
+// ---- Operations required by caller::Caller ----------------------------------------------------------------
 
 void Sidecar::post_pump() {
     asio::post(io_, [this] { caller_.pump(); });
@@ -123,7 +123,7 @@
 }
 
 void Sidecar::carry_out(const TellPeer& action) {
-    if (peers_) peers_->tell(action.to, action.bytes);
+    if (peers_) peers_->send(action.to, action.bytes);
 }
 
 void Sidecar::carry_out(const Subscribe& action) {
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -1,6 +1,6 @@
-// The sidecar over sockets: the I/O half of caller::Caller, which keeps requests, attempts and servers round
-// the decision module. Entry type: Sidecar. Called by its fronts (SidecarFront, the proxy's Outbound), by
-// discovery and by other sidecars.
+// The sidecar over sockets: the I/O half of caller::Caller, which keeps the requests, attempts and servers
+// that the decision module decides about. Entry type: Sidecar. Called by its front ends (SidecarFront, the
+// proxy's Outbound), by discovery and by other sidecars. Not thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <memory>
@@ -24,38 +24,40 @@
 
 class Sidecar {
 public:
-    // Watches what passes, from within the events; it may guide, and nothing else.
+    // Observes servers, requests and attempts. Its methods are called while events are being handled; of the
+    // Sidecar's methods that change state they may call only set_guidance().
     class Observer {
     public:
         virtual ~Observer() = default;
+        // A list of servers was applied; `whole`: it replaced all servers known before.
         virtual void listed(const std::vector<ServerInfo>& servers, bool whole) = 0;
         virtual void arrived(std::uint32_t class_index) = 0;
         virtual void sent(ServerId server) = 0;
-        // `late`: past the aim of the request's class.
+        // `late`: the attempt took longer than the latency target of the request's class.
         virtual void ended(ServerId server, Outcome outcome, Millis duration, bool late) = 0;
     };
-    void observe(Observer* observer) { observer_ = observer; }  // null: none; it must outlive its observing
+    void observe(Observer* observer) { observer_ = observer; }  // null: none; must outlive its use
     void guide(Guidance guidance) { caller_.push(std::move(guidance)); }
-    std::vector<ServerInfo> listed() const;                   // id, phase and online_since of each
-    std::optional<tcp::endpoint> dial_of(ServerId id) const;  // where it is listed
+    std::vector<ServerInfo> listed() const;                   // sets id, phase and online_since
+    std::optional<tcp::endpoint> dial_of(ServerId id) const;  // none: not listed
     std::vector<ServerId> removed() const { return caller_.balancer().removed(); }
     void limit_connections(std::size_t most) { upstream_.limit_connections(most); }
 
     Sidecar(asio::io_context& io, const Clock& clock, Config& config, Upstream::Limits limits);
-    // In another protocol than the platform's; `dialect` must outlive it.
+    // With another protocol than the platform's; `dialect` must outlive the Sidecar.
     Sidecar(asio::io_context& io, const Clock& clock, Config& config, Upstream::Limits limits,
             Dialect& dialect);
     ~Sidecar();
     void connect_to(Discovery& discovery, Peers* peers);
-    void start();  // with the list held from before, if there is one
+    void start();  // applies the saved list from the configuration, if there is one
 
-    // From clients. The answer comes later, through the client.
+    // Called by the front ends. `time_left`: in ms. The answer is delivered later, through the client.
     RequestId arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client);
     void client_gone(RequestId id);
-    // Every request that is held gets its final answer now, by what is known of it.
+    // Gives every pending request its final answer now, according to what is known about its attempts.
     void answer_all() { caller_.answer_all(); }
 
-    // From discovery and from other sidecars.
+    // Called by discovery and by other sidecars. `saved`: the list comes from the configuration.
     void told(const HostList& list, bool saved = false);
     void list_failed();
     void peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes);
@@ -63,20 +65,20 @@
     bool holds_list() const { return holds_list_; }
     std::size_t unanswered() const { return caller_.unanswered(); }
     const Config& config() const { return config_; }
-    // What is held at present, here, on the sockets and in the module. At rest no request is, and of servers
-    // only those listed.
-    struct Held {
+    // Numbers of objects held here, on the sockets and in the decision module. When idle, there are no
+    // requests and no servers but the listed ones.
+    struct ObjectCounts {
         std::size_t requests = 0, attempts = 0, servers = 0, records = 0, pools = 0;
     };
-    Held held() const;
-    std::string tally() const;  // a line for the log
+    ObjectCounts object_counts() const;
+    std::string tally() const;  // the counters as one log line
     void metrics(MetricsText& text) const;
 
 private:
     Sidecar(asio::io_context& io, const Clock& clock, Config& config, Upstream::Limits limits,
             std::unique_ptr<Dialect> own, Dialect* other);
 
-    // What the caller's core asks of sockets; see caller/caller.hpp.
+    // The operations that caller::Caller requires; see caller/caller.hpp.
     friend class caller::Caller<Sidecar>;
     using RequestPtr = cobaltshift::RequestPtr;
     using Response = HttpResponse;
@@ -125,7 +127,7 @@
     asio::io_context& io_;
     const Clock& clock_;
     Config& config_;
-    std::unique_ptr<Dialect> own_dialect_;  // the platform's, where no other was given
+    std::unique_ptr<Dialect> own_dialect_;  // the platform's, unless another was given
     Dialect& dialect_;
     caller::Caller<Sidecar> caller_;
     Upstream upstream_;
--- a/src/net/sidecar_front.cpp
+++ b/src/net/sidecar_front.cpp
@@ -5,8 +5,8 @@
 namespace cobaltshift {
 
 namespace {
-// Taken off the client's time: the answer has to be there before it gives up, not on its way.
-constexpr Millis kAnswerMargin = 5;
+// Subtracted from the client's remaining time, so that the answer arrives before the client gives up.
+constexpr Millis kAnswerMarginMs = 5;
 
 bool is_health(const HttpRequest& head) {
     return head.target() == "/healthz" && head.method() == http::verb::get;
@@ -30,12 +30,12 @@
 }
 
 RequestId SidecarFront::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
-    // Longer than any class waits, no client does.
+    // No client waits longer than the longest deadline of any class.
     const Millis left =
         std::min(*parse_time_left((*request)["X-Time-Left"]), sidecar_.config().longest_deadline);
     strip_hop_by_hop(*request);
     request->prepare_payload();
-    return sidecar_.arrived(std::move(request), std::max(0.0, left - spent - kAnswerMargin),
+    return sidecar_.arrived(std::move(request), std::max(0.0, left - spent - kAnswerMarginMs),
                             std::move(client));
 }
 
--- a/src/net/sidecar_front.hpp
+++ b/src/net/sidecar_front.hpp
@@ -1,5 +1,5 @@
-// The platform's protocol at the Listener: its form, its health check, its time left. Entry type:
-// SidecarFront.
+// Front end of a Sidecar for the platform's protocol: validates requests, answers the health check and reads
+// the client's remaining time from X-Time-Left. Entry type: SidecarFront.
 #pragma once
 
 #include "net/front.hpp"
@@ -10,8 +10,8 @@
 class SidecarFront : public Front {
 public:
     explicit SidecarFront(Sidecar& sidecar) : sidecar_(sidecar) {}
-    void open_for_use() { ready_ = true; }  // /healthz answers 200 from here on, once a list is held
-    void drain() { draining_ = true; }
+    void open_for_use() { ready_ = true; }  // from now on /healthz answers 200 once a server list is held
+    void drain() { draining_ = true; }      // from now on /healthz answers 503
 
     std::optional<http::status> fault(const HttpRequest& head) override;
     std::optional<HttpResponse> local(const HttpRequest& request) override;
--- a/src/net/tally.hpp
+++ b/src/net/tally.hpp
@@ -1,5 +1,5 @@
-// One line in the log, now and then, that says what a sidecar has done since its start and what it believes:
-// sums over a fleet's logs show what no single sidecar can (`deploy/tally.sh`).
+// A periodic log line with a sidecar's counters and its current view of the fleet. `deploy/tally.sh` sums
+// these lines over a fleet's logs, which shows what no single sidecar can.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 
 namespace cobaltshift {
 
-// `name=value` words, 200 characters at most; counts since the start.
+// Space-separated `name=value` pairs, at most 200 characters; counters run from the start of the process.
 std::string tally_line(const kelplb::Balancer::Tally& module, const Upstream::Counts& sockets);
-// The same as metrics.
+// The same values as metrics.
 void tally_metrics(const kelplb::Balancer::Tally& module, const Upstream::Counts& sockets, MetricsText& text);
 
 }  // namespace cobaltshift
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -11,19 +11,21 @@
 namespace cobaltshift {
 
 namespace {
-constexpr std::size_t kReadSize = 4096;
-constexpr int kMostInterim = 16;
-// What the kernel holds unread counts as memory too, and an endless answer fills it at once.
-constexpr int kKernelBuffer = 64 * 1024;
-
-// How long the server keeps the connection by its Keep-Alive (RFC 2068 19.7.1), in ms; 0: it does not say.
-Millis keep_alive_for(const HttpResponse& response) {
+constexpr std::size_t kReadBytes = 4096;
+constexpr int kMaxInterimResponses = 16;
+// Unread data in the kernel counts towards the process's memory, and an endless answer fills that buffer at
+// once.
+constexpr int kReceiveBufferBytes = 64 * 1024;
+
+// The timeout in the server's Keep-Alive header (RFC 2068 19.7.1), in ms; 0: none given.
+Millis keep_alive_timeout_ms(const HttpResponse& response) {
     const std::string field(response[http::field::keep_alive]);
     const auto at = field.find("timeout=");
     return at == std::string::npos ? 0 : 1000.0 * std::max(0, std::atoi(field.c_str() + at + 8));
 }
-// A machine without power or behind a cut says nothing: the kernel asks for it while an answer is awaited.
-void watch_for_death(tcp::socket& socket, Millis after) {
+// Makes the kernel detect a peer that has lost power or is cut off by a network partition, and so never
+// closes the connection, while an answer is awaited. `after`: in ms.
+void enable_dead_peer_detection(tcp::socket& socket, Millis after) {
     const int user_timeout = static_cast<int>(after), on = 1, second = 1,
               probes = std::max(1, static_cast<int>(after / 1000) - 1);
     const int fd = socket.native_handle();
@@ -38,7 +40,7 @@
 UpstreamManner UpstreamManner::platform() {
     UpstreamManner manner;
     manner.stamp = [](HttpRequest& message, Millis left) {
-        // Whole milliseconds would round a short time to nothing.
+        // In microseconds: whole milliseconds would round a short time to 0.
         message.set("X-Time-Left", std::to_string(static_cast<long long>(left * 1000)) + "u");
     };
     manner.judge = [](const HttpResponse& response) {
@@ -61,7 +63,7 @@
 
 Upstream::~Upstream() = default;
 
-// ---- What is asked of it ----------------------------------------------------------------------------------
+// ---- Public interface -------------------------------------------------------------------------------------
 
 void Upstream::send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request,
                     Millis until) {
@@ -81,7 +83,7 @@
 void Upstream::close_idle(ServerId server) { pool_.close_idle(server); }
 void Upstream::retire(ServerId server) { pool_.retire(server); }
 
-// ---- What the pool asks of sockets ------------------------------------------------------------------------
+// ---- Operations required by ConnectionPool ----------------------------------------------------------------
 
 void Upstream::set_timer(const ConnectionPtr& connection, Millis at) {
     connection->channel.timer.expires_at(clock_.point(at));
@@ -98,8 +100,8 @@
     socket.open(connection->to.protocol(), ec);
     if (!ec) socket.set_option(tcp::no_delay(true), ec);
     if (!ec) socket.non_blocking(true, ec);
-    if (!ec) socket.set_option(asio::socket_base::receive_buffer_size(kKernelBuffer), ec);
-    if (!ec && dead_after_ > 0) watch_for_death(socket, dead_after_);
+    if (!ec) socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ec);
+    if (!ec && dead_after_ > 0) enable_dead_peer_detection(socket, dead_after_);
     if (ec) return pool_.connected(connection, false);
     socket.async_connect(connection->to,
                          [this, connection](error_code error) { pool_.connected(connection, !error); });
@@ -110,33 +112,34 @@
     Channel& channel = connection->channel;
     HttpRequest& message = *job.request;
     if (!job.probe) manner_.stamp(message, std::max(0.0, job.until - clock_.now()));
-    channel.out.clear();
-    channel.out_done = 0;
-    http::request_serializer<http::string_body> text(message);
-    error_code wrong;
-    while (!wrong && !text.is_done())
-        text.next(wrong, [&](error_code&, const auto& buffers) {
+    channel.output.clear();
+    channel.output_written = 0;
+    http::request_serializer<http::string_body> serializer(message);
+    error_code serialize_error;
+    while (!serialize_error && !serializer.is_done())
+        serializer.next(serialize_error, [&](error_code&, const auto& buffers) {
             for (auto at = asio::buffer_sequence_begin(buffers); at != asio::buffer_sequence_end(buffers);
                  ++at) {
                 const asio::const_buffer part = *at;
-                channel.out.append(static_cast<const char*>(part.data()), part.size());
+                channel.output.append(static_cast<const char*>(part.data()), part.size());
             }
-            text.consume(asio::buffer_size(buffers));
+            serializer.consume(asio::buffer_size(buffers));
         });
-    // Directly: nearly every request fits, and how much of it has gone out is known at once.
+    // Written synchronously first: nearly every request fits into the send buffer, and the number of bytes
+    // sent is known at once.
     error_code ec;
-    const std::size_t bytes = channel.socket.write_some(asio::buffer(channel.out), ec);
+    const std::size_t bytes = channel.socket.write_some(asio::buffer(channel.output), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again) ec = {};
     wrote(connection, ec, bytes);
 }
 
 void Upstream::wrote(const ConnectionPtr& connection, error_code ec, std::size_t bytes) {
     Channel& channel = connection->channel;
-    channel.out_done += bytes;
+    channel.output_written += bytes;
     if (ec) return pool_.write_failed(connection);
-    if (channel.out_done == channel.out.size()) return pool_.written(connection);
-    const auto rest = asio::buffer(channel.out) + channel.out_done;
-    channel.socket.async_write_some(rest, [this, connection](error_code error, std::size_t n) {
+    if (channel.output_written == channel.output.size()) return pool_.written(connection);
+    const auto remaining = asio::buffer(channel.output) + channel.output_written;
+    channel.socket.async_write_some(remaining, [this, connection](error_code error, std::size_t n) {
         if (connection->state == exchange::ConnectionState::writing) wrote(connection, error, n);
     });
 }
@@ -154,18 +157,19 @@
 void Upstream::parse(const ConnectionPtr& connection) {
     Channel& channel = connection->channel;
     while (!channel.parser->is_done()) {
-        const error_code ec = feed(*channel.parser, channel.in, channel.head_bytes);
+        const error_code ec = parse_received(*channel.parser, channel.input, channel.head_bytes);
         if (ec == http::error::need_more) return receive(connection);
-        // An answer that only the connection's end would end may have been cut short.
+        // An answer delimited by the end of the connection may have been truncated.
         if (ec || channel.parser->need_eof()) return pool_.broken(connection);
     }
     const unsigned status = channel.parser->get().result_int();
     if (status / 100 == 1) {
-        // More follows, but not without end.
-        if (status == 101 || ++channel.interim > kMostInterim) return pool_.broken(connection);
+        // An interim response; the number accepted is bounded.
+        if (status == 101 || ++channel.interim_responses > kMaxInterimResponses)
+            return pool_.broken(connection);
         return read(connection);
     }
-    const exchange::AnswerEnd how{channel.parser->keep_alive(), channel.in.size() > 0};
+    const exchange::AnswerEnd how{channel.parser->keep_alive(), channel.input.size() > 0};
     HttpResponse response = channel.parser->release();
     channel.parser.reset();
     pool_.answered(connection, std::move(response), how);
@@ -173,28 +177,30 @@
 
 void Upstream::receive(const ConnectionPtr& connection) {
     Channel& channel = connection->channel;
-    channel.socket.async_read_some(
-        channel.in.prepare(kReadSize), [this, connection](error_code ec, std::size_t bytes) {
-            if (connection->state != exchange::ConnectionState::reading) return;
-            if (ec) return pool_.broken(connection);
-            try {
-                connection->channel.in.commit(bytes);
-                parse(connection);
-            } catch (const std::exception& error) {
-                // Of one answer: what goes wrong with it must not touch the others.
-                log_line("upstream.failed", std::string("an answer failed: ") + error.what());
-                if (connection->job) pool_.broken(connection);
-            }
-        });
+    channel.socket.async_read_some(channel.input.prepare(kReadBytes), [this, connection](error_code ec,
+                                                                                         std::size_t bytes) {
+        if (connection->state != exchange::ConnectionState::reading) return;
+        if (ec) return pool_.broken(connection);
+        try {
+            connection->channel.input.commit(bytes);
+            parse(connection);
+        } catch (const std::exception& error) {
+            // Contained to this connection: an error must not affect the others.
+            log_line("upstream.failed", std::string("processing a server's answer failed: ") + error.what());
+            if (connection->job) pool_.broken(connection);
+        }
+    });
 }
 
-bool Upstream::quiet(Connection& connection) { return peek(connection.channel.socket) == Quiet::nothing; }
+bool Upstream::quiet(Connection& connection) {
+    return peek(connection.channel.socket) == PendingInput::nothing;
+}
 
 void Upstream::rest(const ConnectionPtr& connection) {
     Channel& channel = connection->channel;
-    if (channel.out.capacity() > kReadSize) channel.out = std::string();
-    channel.interim = 0;
-    if (channel.in.capacity() > kReadSize) channel.in.shrink_to_fit();
+    if (channel.output.capacity() > kReadBytes) channel.output = std::string();
+    channel.interim_responses = 0;
+    if (channel.input.capacity() > kReadBytes) channel.input.shrink_to_fit();
     channel.socket.async_wait(tcp::socket::wait_read,
                               [this, connection](error_code) { pool_.woke(connection); });
 }
@@ -204,14 +210,14 @@
     connection.channel.socket.close(ignored);
 }
 
-// ---- The protocol's words ---------------------------------------------------------------------------------
+// ---- Protocol ---------------------------------------------------------------------------------------------
 
 bool Upstream::is_stray(const Connection& connection, const HttpResponse& response) const {
     return manner_.stray && manner_.stray(*connection.job->request, response);
 }
 
 Millis Upstream::kept_for(const HttpResponse& response) const {
-    return manner_.heeds_keep_alive ? keep_alive_for(response) : 0;
+    return manner_.heeds_keep_alive ? keep_alive_timeout_ms(response) : 0;
 }
 
 }  // namespace cobaltshift
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -1,6 +1,6 @@
 // Connections to servers over sockets: the I/O half of exchange::ConnectionPool, which decides which
-// connection is used again, which answer belongs to which request, and how each attempt ended. Entry type:
-// Upstream. Called by Sidecar and by the proxy's Inbound.
+// connection is reused, which answer belongs to which request, and how each attempt ended. Entry type:
+// Upstream. Called by Sidecar and by the proxy's Inbound. Not thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <functional>
@@ -16,30 +16,32 @@
 
 namespace cobaltshift {
 
-// What a protocol on these connections says beyond HTTP/1.1. All are called from within the loop and note
-// nothing.
+// What a protocol on these connections adds to HTTP/1.1. The functions are called on the event loop and must
+// not keep state.
 struct UpstreamManner {
-    // Just before it is written: how much time it has left, and whatever else one hop says to the next.
+    // Called just before a request is written: sets the remaining time `left` (ms) and other per-hop headers.
     std::function<void(HttpRequest&, Millis left)> stamp;
-    // Of a whole answer.
+    // The outcome that a complete answer stands for.
     std::function<Outcome(const HttpResponse&)> judge;
-    // Whether it answers another request than this one; such an answer is passed over, once, and the
-    // connection not used again. May be empty.
+    // Whether the answer belongs to another request. One such answer is skipped, and the connection is not
+    // reused afterwards. May be empty.
     std::function<bool(const HttpRequest&, const HttpResponse&)> stray;
-    std::uint64_t body_bytes = kMaxBody;  // of one answer; a longer one is no answer
+    std::uint64_t body_bytes = kMaxBody;  // limit for one answer; a longer one counts as broken
     std::string probe_path = "/healthz";
-    bool heeds_keep_alive = false;     // the time that a server's Keep-Alive gives bounds how long it is kept
+    // Whether the timeout in a server's Keep-Alive header bounds how long an idle connection is kept.
+    bool heeds_keep_alive = false;
     static UpstreamManner platform();  // X-Time-Left and X-Unprocessed
 };
 
-// Must outlive the running of the loop.
+// Must not be destroyed while the event loop runs.
 class Upstream {
 public:
     struct Limits : exchange::Limits {
-        // A connection whose other end has said nothing so long, asked, breaks; 0: never.
+        // A connection breaks if its peer has acknowledged neither data nor keep-alive probes for this many
+        // ms; 0: never.
         Millis dead_after = 0;
     };
-    // May be called from within send(), cancel() and the like: they only note what happened.
+    // May be called from within send(), cancel() and the other methods; handlers must only record the event.
     struct Handlers {
         std::function<void(AttemptKey, Outcome, HttpResponse*)> attempt_ended;
         std::function<void(ServerId, Outcome, Millis)> probe_ended;
@@ -51,7 +53,7 @@
 
     void send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request, Millis until);
     void probe(ServerId server, const tcp::endpoint& to);
-    // As ConnectionPool has them.
+    // See exchange::ConnectionPool for these.
     void expire(AttemptKey key);
     void cancel(AttemptKey key);
     void withdraw_request(RequestId id);
@@ -62,15 +64,15 @@
     void limit_connections(std::size_t most) { pool_.limit_connections(most); }
 
     struct Counts {
-        std::uint64_t opened = 0;  // connections begun since the start
+        std::uint64_t opened = 0;  // connections opened since the process started
     };
     Counts counts() const { return {pool_.opened()}; }
-    std::size_t open() const { return pool_.open(); }
-    std::size_t out() const { return pool_.out(); }
-    std::size_t pools() const { return pool_.groups(); }
+    std::size_t open() const { return pool_.open(); }      // open connections
+    std::size_t in_flight() const { return pool_.out(); }  // attempts in flight
+    std::size_t pools() const { return pool_.groups(); }   // servers with connections
 
 private:
-    // What the pool asks of sockets; see exchange/connection_pool.hpp.
+    // The operations that ConnectionPool requires; see exchange/connection_pool.hpp.
     friend class exchange::ConnectionPool<Upstream>;
     using Endpoint = tcp::endpoint;
     using RequestPtr = cobaltshift::RequestPtr;
@@ -116,12 +118,12 @@
     explicit Channel(Upstream& owner) : socket(owner.io_), timer(owner.io_) {}
 
     tcp::socket socket;
-    asio::steady_timer timer;  // connecting, probing and idling; an attempt's own end comes from outside
-    std::string out;
-    std::size_t out_done = 0;
-    beast::flat_buffer in;
+    asio::steady_timer timer;  // for connecting, probes and idling; attempts' deadlines are the caller's
+    std::string output;
+    std::size_t output_written = 0;
+    beast::flat_buffer input;
     std::size_t head_bytes = 0;
-    int interim = 0;  // 1xx answers so far
+    int interim_responses = 0;  // 1xx responses to the current request
     std::optional<http::response_parser<http::string_body>> parser;
 };
 
--- a/src/settings_file/error.hpp
+++ b/src/settings_file/error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a file of settings: its message names file, line and key.
+// An invalid settings file; the message names file, line and key.
 #pragma once
 
 #include <stdexcept>
--- a/src/settings_file/section.hpp
+++ b/src/settings_file/section.hpp
@@ -1,5 +1,5 @@
-// One table of a TOML file, read key by key: typed, and every complaint names file, line and key. For our own
-// settings and for experiments.
+// Typed access to one table of a TOML file. Every error is a SettingsError that names file, line and key.
+// Used for the program's settings, sites, load plans and experiments.
 #pragma once
 
 #include <toml++/toml.h>
@@ -20,20 +20,22 @@
 
 using boost::asio::ip::tcp;
 
-// One table of the file. Each key asked for is known from then on; done() complains of the others.
+// One table of the file. Each key that is asked for counts as known; reject_unknown_keys() rejects the
+// others. The table and the file name must outlive the Section.
 class Section {
 public:
     Section(const toml::table& table, std::string name, const std::string& file)
         : table_(table), name_(std::move(name)), file_(file) {}
 
-    // Leaves `value` as it is where the key is missing.
+    // These readers leave `value` unchanged if the key is missing, and throw SettingsError for a value of the
+    // wrong type or out of its range.
     void number(const char* key, double& value, double least, double most) {
         const toml::node* node = find(key);
         if (!node) return;
         const auto given = node->value<double>();
         if (!given || node->is_boolean()) fail(*node, key, "is not a number");
         if (!std::isfinite(*given) || *given < least || *given > most)
-            fail(*node, key, "is not between " + shown(least) + " and " + shown(most));
+            fail(*node, key, "is not between " + formatted(least) + " and " + formatted(most));
         value = *given;
     }
     template <class Count>
@@ -43,7 +45,7 @@
         const auto given = node->value_exact<std::int64_t>();
         if (!given) fail(*node, key, "is not a whole number");
         if (static_cast<double>(*given) < least || static_cast<double>(*given) > most)
-            fail(*node, key, "is not between " + shown(least) + " and " + shown(most));
+            fail(*node, key, "is not between " + formatted(least) + " and " + formatted(most));
         value = static_cast<Count>(*given);
     }
     void text(const char* key, std::string& value) {
@@ -82,7 +84,7 @@
         if (values.empty() || values.size() > most)
             fail(*node, key, "has not 1 to " + std::to_string(most) + " entries");
     }
-    // [[key]], each a table of its own.
+    // The tables of the array [[key]], at most `most`.
     std::vector<Section> sections(const char* key, std::size_t most) {
         std::vector<Section> all;
         const toml::node* node = find(key);
@@ -92,26 +94,30 @@
         if (all.size() > most) fail(*node, key, "has more than " + std::to_string(most) + " entries");
         return all;
     }
-    // Every key there is, for tables whose keys are the user's.
+    // All keys of the table, for tables with user-defined keys.
     std::vector<std::string> keys() const {
         std::vector<std::string> all;
         for (const auto& [key, node] : table_) all.emplace_back(key.str());
         return all;
     }
+    // Throws an error about `key`; `what` follows its name in the message.
     [[noreturn]] void wrong(const char* key, const std::string& what) {
         const toml::node* node = find(key);
-        if (!node) throw SettingsError(file_ + ": " + full(key) + " " + what);
+        if (!node) throw SettingsError(file_ + ": " + qualified(key) + " " + what);
         fail(*node, key, what);
     }
+    // Line of the table in the file.
     int line() const { return static_cast<int>(table_.source().begin.line); }
     bool has_table(const char* key) const {
         const toml::node* node = table_.get(key);
         return node && node->is_table();
     }
     bool has(const char* key) { return find(key) != nullptr; }
+    // Throws if the key is missing.
     void need(const char* key) {
-        if (!find(key)) throw SettingsError(file_ + ": " + full(key) + " is missing");
+        if (!find(key)) throw SettingsError(file_ + ": " + qualified(key) + " is missing");
     }
+    // The table [key]; empty if it is missing.
     Section section(const char* key) {
         static const toml::table none;
         const toml::node* node = find(key);
@@ -119,13 +125,14 @@
         if (!node->is_table()) fail(*node, key, "is not a table");
         return {*node->as_table(), key, file_};
     }
+    // Throws if the table has a key that was not asked for.
     void done() const {
         for (const auto& [key, node] : table_)
             if (!known_.count(std::string(key.str()))) fail(node, std::string(key.str()), "is not known");
     }
 
 private:
-    std::string full(const std::string& key) const { return name_.empty() ? key : name_ + "." + key; }
+    std::string qualified(const std::string& key) const { return name_.empty() ? key : name_ + "." + key; }
     const toml::node* find(const char* key) {
         known_.insert(key);
         return table_.get(key);
@@ -135,7 +142,7 @@
         if (!given) fail(node, key, "is not a text");
         return *given;
     }
-    // ADDRESS:PORT in numbers: names are not looked up.
+    // Numeric ADDRESS:PORT; host names are not resolved.
     tcp::endpoint endpoint_of(const toml::node& node, const char* key) const {
         const std::string given = text_of(node, key);
         const auto colon = given.rfind(':');
@@ -153,14 +160,14 @@
         if (ec || port > 65535) fail(node, key, "is not address:port");
         return {address, static_cast<unsigned short>(port)};
     }
-    static std::string shown(double value) {
+    static std::string formatted(double value) {
         std::ostringstream text;
         text << value;
         return text.str();
     }
     [[noreturn]] void fail(const toml::node& node, const std::string& key, const std::string& what) const {
-        throw SettingsError(file_ + ":" + std::to_string(node.source().begin.line) + ": " + full(key) + " " +
-                            what);
+        throw SettingsError(file_ + ":" + std::to_string(node.source().begin.line) + ": " + qualified(key) +
+                            " " + what);
     }
 
     const toml::table& table_;
@@ -169,7 +176,7 @@
     std::set<std::string> known_;
 };
 
-// The whole file; throws SettingsError if it is no TOML.
+// Parses a TOML file's text; throws SettingsError on a syntax error. `file`: its name for messages.
 inline toml::table parsed_toml(const std::string& text, const std::string& file) {
     try {
         return toml::parse(text, file);
--- a/src/settings_file/settings_file.cpp
+++ b/src/settings_file/settings_file.cpp
@@ -52,7 +52,8 @@
     probing.count("listeners", s.core.listeners, 0, static_cast<double>(instances.size() - 1));
     probing.count("stand_by", s.core.stand_by, 1, 16);
     probing.count("at_once", s.core.at_once, 1, 64);
-    // What the bounds on probes rest on (src/probing/prober.hpp, docs/operate/probing.md).
+    // The bounds on the number of probes rely on these relations (src/probing/prober.hpp,
+    // docs/operate/probing.md).
     if (s.length > s.core.interval / 4) probing.wrong("length_ms", "is over a quarter of interval_ms");
     if (s.core.probe + settings.keepers.margin > s.length / 2)
         probing.wrong("probe_ms", "and keepers.margin_ms are together over half of length_ms");
--- a/src/settings_file/settings_file.hpp
+++ b/src/settings_file/settings_file.hpp
@@ -1,5 +1,5 @@
-// Our own settings, from a TOML file: what the platform's configuration does not say. Typed; every complaint
-// names file, line and key. Without a file all is as the defaults here say, and all optional parts are off.
+// The program's own settings from a TOML file, for everything that the platform's configuration does not
+// cover. Errors name file, line and key. Without a file the defaults apply and all optional features are off.
 #pragma once
 
 #include <optional>
@@ -7,7 +7,7 @@
 
 #include "lease_io/settings.hpp"
 #include "log/log.hpp"
-#include "net/shares.hpp"
+#include "net/resource_shares.hpp"
 #include "plan_io/settings.hpp"
 #include "probing_io/settings.hpp"
 #include "settings_file/error.hpp"
@@ -16,19 +16,19 @@
 namespace cobaltshift {
 
 struct ProgramSettings {
-    Shares shares;
+    ResourceShares shares;
     LogFormat log = LogFormat::text;
-    std::optional<boost::asio::ip::tcp::endpoint> metrics;  // where they are fetched; none: nowhere
+    std::optional<boost::asio::ip::tcp::endpoint> metrics;  // address of the metrics endpoint; none: off
     plan::ClientSettings plan;
-    std::optional<plan::ServerSettings> planner;  // given: this file can start a planner
-    lease::KeepersSettings keepers;               // none: no rights can be asked for
+    std::optional<plan::ServerSettings> planner;  // set: a planner can be started
+    lease::KeepersSettings keepers;               // without addresses: no leases can be requested
     probing::ProbingSettings probing;             // without instances: off
-    std::optional<site::SiteSettings> site;       // given: this file can start one that leads sites
-    std::optional<lease::KeeperSettings> keeper;  // given: this file can start a keeper
+    std::optional<site::SiteSettings> site;       // set: a site leader can be started
+    std::optional<lease::KeeperSettings> keeper;  // set: a keeper can be started
 };
 
-// Throws SettingsError: the file can't be read, is no TOML, or has a key unknown, of the wrong type or out of
-// its range. `file` names it in complaints.
+// Throw SettingsError if the file can't be read, is not TOML, or has an unknown key or a value of the wrong
+// type or out of its range. `file`: its name for messages.
 ProgramSettings read_settings(const std::string& text, const std::string& file);
 ProgramSettings load_settings(const std::string& file);
 
--- a/tests/mesh/send_scheduler_test.cpp
+++ b/tests/mesh/send_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Who may write to the machine's link, and when; and what admission makes of it.
+// Tests of SendScheduler, and of admission with a link's backlog and expected answer sizes.
 #include "net/send_scheduler.hpp"
 
 #include <doctest/doctest.h>
@@ -14,14 +14,14 @@
 }
 }  // namespace
 
-TEST_CASE("send scheduler: long answers leave at the link's rate, and short ones find it hardly taken") {
+TEST_CASE("send scheduler: long answers are granted at the link's rate") {
     SendScheduler scheduler(settings());
     for (int i = 0; i < 5; ++i) scheduler.add(10000, 600);
     double now = 0, sent = 0;
     for (; scheduler.due(); now += 1)
         while (const auto grant = scheduler.next(now)) {
             sent += static_cast<double>(grant->bytes);
-            CHECK(sent <= 100 * (now + 10) + 1000);  // never further ahead
+            CHECK(sent <= 100 * (now + 10) + 1000);  // bounded by the allowed lead and one piece
             scheduler.finished(grant->id);
         }
     CHECK(sent == 50000);
@@ -29,7 +29,7 @@
     CHECK(scheduler.queued_bytes() == 0);
 }
 
-TEST_CASE("send scheduler: the one with the least left is first, so that answers end one by one") {
+TEST_CASE("send scheduler: the answer with the fewest remaining bytes is granted first") {
     SendScheduler scheduler(settings());
     const auto long_one = scheduler.add(5000, 1000), short_one = scheduler.add(2000, 1000);
     std::vector<SendScheduler::Id> order;
@@ -42,7 +42,7 @@
                                                   long_one, long_one});
 }
 
-TEST_CASE("send scheduler: what is urgent goes first, those longest urgent before the others") {
+TEST_CASE("send scheduler: urgent answers are granted first, the longest urgent one before the others") {
     SendScheduler scheduler(settings());
     const auto later = scheduler.add(4000, 30), sooner = scheduler.add(5000, 20),
                never = scheduler.add(3000, 900);
@@ -52,7 +52,8 @@
             order.push_back(grant->id);
             scheduler.finished(grant->id);
         }
-    // Ten ms of the link a piece, two of them ahead: from 10 ms on what was granted first is with the kernel.
+    // A piece takes 10 ms of link time, and two may be granted in advance: the pieces granted before 20 ms
+    // precede the urgent answers.
     CHECK(order == std::vector<SendScheduler::Id>{never, never, never, sooner, sooner, sooner, sooner, sooner,
                                                   later, later, later, later});
     const auto urgent = scheduler.add(3000, 0), short_one = scheduler.add(1000, 1e6);
@@ -61,7 +62,7 @@
     CHECK(scheduler.next(510)->id == short_one);
 }
 
-TEST_CASE("send scheduler: short answers count against the link, and one that leaves makes room") {
+TEST_CASE("send scheduler: short answers add to the backlog, and a removed answer no longer counts") {
     SendScheduler scheduler(settings());
     scheduler.sent(0, 5000);
     CHECK(scheduler.backlog(0) == 50);
@@ -72,10 +73,10 @@
     scheduler.remove(id);
     CHECK(scheduler.backlog(0) == 50);
     CHECK_FALSE(scheduler.due());
-    CHECK(scheduler.finished(id));  // withdrawn while its piece was being written
+    CHECK(scheduler.finished(id));  // removed while its piece was being written
 }
 
-TEST_CASE("admission: an answer that the link can't carry in time is refused before it runs") {
+TEST_CASE("admission: a request whose answer the link can't deliver in time is refused before it runs") {
     admission::Admission one;
     one.beat("i-1", 6, false, 1);
     admission::Offer offer;
@@ -87,11 +88,11 @@
     const admission::Answer said = one.offer(0, offer);
     CHECK(said.act == admission::Act::refuse);
     CHECK(said.reason == Reason::full);
-    offer.ticket = 3, offer.id = "c", offer.link_time = 0;  // short: it does not wait for long ones
+    offer.ticket = 3, offer.id = "c", offer.link_time = 0;  // a short answer does not wait for long ones
     CHECK(one.offer(0, offer).act == admission::Act::begin);
 }
 
-TEST_CASE("answer sizes: learnt by kind of request, bounded") {
+TEST_CASE("answer sizes: learnt per kind of request, in bounded memory") {
     admission::AnswerSizes sizes;
     CHECK(sizes.expected({2, 1, 600}) == 0);
     sizes.learn({2, 1, 600}, 90000);
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -1,4 +1,4 @@
-// What the socket tests share: a sidecar on a thread of its own and the application beside it.
+// Shared by the socket tests: a sidecar on its own thread and a client application.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,15 +11,15 @@
 
 using namespace lab;
 
-const std::string kNowhere = "127.0.0.1:1";
+const std::string kNowhere = "127.0.0.1:1";  // refuses connections
 
-// A sidecar on a thread of its own.
-class Running {
+// A sidecar on its own thread. All methods may be called from the test's thread.
+class SidecarThread {
 public:
-    explicit Running(const json& config) : node_(io_, read_config(config)), at(node_.endpoint()) {
+    explicit SidecarThread(const json& config) : node_(io_, read_config(config)), at(node_.endpoint()) {
         thread_ = std::thread([this] { io_.run(); });
     }
-    ~Running() {
+    ~SidecarThread() {
         io_.stop();
         thread_.join();
     }
@@ -32,9 +32,9 @@
             }
         });
     }
-    Sidecar::Held held() {
-        std::promise<Sidecar::Held> promise;
-        asio::post(io_, [&] { promise.set_value(node_.held()); });
+    Sidecar::ObjectCounts object_counts() {
+        std::promise<Sidecar::ObjectCounts> promise;
+        asio::post(io_, [&] { promise.set_value(node_.object_counts()); });
         return promise.get_future().get();
     }
     void stop(std::function<void()> done) {
@@ -50,19 +50,19 @@
     tcp::endpoint at;
 };
 
-// The application beside the sidecar.
+// A client application with one connection to the sidecar.
 class App {
 public:
     explicit App(const tcp::endpoint& at) : wire(connected(at)) {}
-    static std::string request(const std::string& grade, const std::string& time_left = "25000m",
+    static std::string request(const std::string& request_class, const std::string& time_left = "25000m",
                                const std::string& body = "", const std::string& more = "") {
         static std::atomic<int> last{0};
-        return (grade == "listen" ? "GET /" : "POST /") + grade + "?sid=7f HTTP/1.1\r\nHost: api\r\n" +
-               "X-Correlation-Id: 9b1f" + std::to_string(++last) + "\r\nX-Service-Class: " + grade +
-               "\r\nX-Time-Left: " + time_left + "\r\n" +
-               (grade == "annotate" ? "Idempotency-Key: 5c0f\r\n" : "") + more +
-               (grade == "listen" ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" +
-               body;
+        return (request_class == "listen" ? "GET /" : "POST /") + request_class +
+               "?sid=7f HTTP/1.1\r\nHost: api\r\n" + "X-Correlation-Id: 9b1f" + std::to_string(++last) +
+               "\r\nX-Service-Class: " + request_class + "\r\nX-Time-Left: " + time_left + "\r\n" +
+               (request_class == "annotate" ? "Idempotency-Key: 5c0f\r\n" : "") + more +
+               (request_class == "listen" ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") +
+               "\r\n" + body;
     }
     HttpResponse ask(const std::string& text) {
         wire.write(text);
