--- a/src/lease/book.cpp
+++ b/src/lease/book.cpp
@@ -27,7 +27,7 @@
     Note& note = notes_[op.task];
     if (note.fence == op.fence && note.holder == op.holder) {
         if (op.number < note.number) return {};
-        if (op.number == note.number) return {Outcome::noted, 0, op.fence};  // the same one, asked again
+        if (op.number == note.number) return {Outcome::noted, 0, op.fence};  // a repeated request
     }
     note = {op.text, op.fence, op.holder, op.number};
     return {Outcome::noted, 0, op.fence};
--- a/src/lease/book.hpp
+++ b/src/lease/book.hpp
@@ -1,10 +1,11 @@
-// Who holds what and who waits: the state machine on the keepers' log. The same operations in the same order
-// lead to the same book on every keeper; it knows no time. Lapses are operations too, and their leader
-// answers for it that the time is over (office.hpp).
+// The replicated state machine: holders, waiting queues and notes of all tasks. Applying the same operations
+// in the same order gives the same state on every replica; it contains no clock. Expiry is an operation too,
+// and the leader that proposes it guarantees that the lease's time has passed (office.hpp).
 //
-// Invariants: a fence is given once, and each is higher than all before it, also of tasks long forgotten; a
-// release, lapse, revocation or note under a fence that is not the task's changes nothing. So notes are as
-// good as an act upon a target with a gate: none is left by whose right is over, whatever clocks do.
+// Invariants: each fencing token is granted once and is higher than all before it, including those of
+// removed tasks; a release, expiry, revocation or note under a token that is not the task's current one has
+// no effect. Notes are thereby fenced like actions on a resource behind a Gate: a holder whose lease has
+// ended can't store one, whatever the clocks do.
 #pragma once
 
 #include <deque>
@@ -17,6 +18,7 @@
 
 namespace cobaltshift::lease {
 
+// Not thread-safe.
 class Book {
 public:
     struct Waiter {
@@ -35,14 +37,17 @@
     enum class Outcome { granted, queued, refused, full, ended, noted, nothing };
     struct Effect {
         Outcome outcome = Outcome::nothing;
-        HolderId to = 0;  // who has been granted it, if anybody
+        HolderId to = 0;  // the new holder, if the task was granted
         Fence fence = 0;
     };
+    // Applies one committed operation. An operation that doesn't match the current state has no effect.
     Effect apply(const Op& op);
 
     const std::map<std::string, Task, std::less<>>& tasks() const { return tasks_; }
+    // Null: nobody holds the task. Valid until the next apply() or load().
     const Task* find(std::string_view task) const;
-    // Whose question left it tells one that comes late, or twice, from a newer one of the same right.
+    // `holder` and `number` identify the request that stored the note, so that a delayed or repeated request
+    // is told from a newer one under the same lease.
     struct Note {
         std::string text;
         Fence fence = 0;
@@ -50,22 +55,23 @@
         std::uint64_t number = 0;
     };
     const std::map<std::string, Note, std::less<>>& notes() const { return notes_; }
-    std::string note(std::string_view task) const;  // empty: none
+    std::string note(std::string_view task) const;  // empty if there is none
     Fence last_fence() const { return fence_; }
-    // Of all operations ever applied, in their order: equal on keepers that have applied the same.
+    // Hash chain over all operations applied so far: equal on replicas that have applied the same log.
     std::uint64_t digest() const { return digest_; }
 
+    // Serializes the state for a snapshot.
     std::string save() const;
-    // False: not a book; it is then empty.
+    // Replaces the state by a snapshot's. False: the bytes can't be decoded, and the state is empty.
     bool load(std::string_view bytes);
 
 private:
     Effect note(const Op& op);
     Effect grant_next(std::map<std::string, Task, std::less<>>::iterator at);
 
-    std::map<std::string, Task, std::less<>> tasks_;  // those held; a task nobody holds is not kept
-    // Kept though nobody holds the task, kMaxNotes of them. One taken away stays as an empty one until its
-    // right is over.
+    std::map<std::string, Task, std::less<>> tasks_;  // only tasks that are held
+    // Notes outlive the lease; at most kMaxNotes. A removed note stays as an empty one until its lease has
+    // ended, so that a delayed request under the same lease can't restore it.
     std::map<std::string, Note, std::less<>> notes_;
     std::size_t waiters_ = 0;  // in all queues
     Fence fence_ = 0;
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -14,11 +14,12 @@
 constexpr std::uint64_t kFormat = 1;
 constexpr std::size_t kMaxText = 4 * 1024 * 1024;
 
-void words(pbf_writer& w, std::uint32_t tag, const std::string& text) {
+void add_text(pbf_writer& w, std::uint32_t tag, const std::string& text) {
     if (!text.empty()) w.add_bytes(tag, text);
 }
 
-// Reads the body of something sealed; `take` is given each field and says whether it knew it.
+// Decodes a body with checksum and format number, at most `most` bytes long. `take` is called for each field
+// and returns whether it consumed it; fields that it doesn't know are skipped.
 template <class What, class Take>
 std::optional<What> read(std::string_view bytes, std::size_t most, std::string& why, Take take) {
     why.clear();
@@ -51,13 +52,13 @@
     w.add_uint32(2, static_cast<std::uint32_t>(q.kind));
     w.add_uint64(3, q.holder);
     w.add_uint64(4, q.number);
-    words(w, 5, q.name);
-    words(w, 6, q.task);
+    add_text(w, 5, q.name);
+    add_text(w, 6, q.task);
     w.add_uint64(7, q.fence);
     w.add_double(8, q.length);
     w.add_bool(9, q.wait);
-    words(w, 10, q.next);
-    words(w, 11, q.text);
+    add_text(w, 10, q.next);
+    add_text(w, 11, q.text);
     return store::sealed(std::move(bytes));
 }
 
@@ -114,12 +115,12 @@
     w.add_uint32(2, static_cast<std::uint32_t>(a.kind));
     w.add_uint64(3, a.holder);
     w.add_uint64(4, a.number);
-    words(w, 5, a.task);
+    add_text(w, 5, a.task);
     w.add_uint64(6, a.fence);
     w.add_double(7, a.length);
     w.add_uint32(8, a.place);
-    words(w, 9, a.by);
-    words(w, 10, a.text);
+    add_text(w, 9, a.by);
+    add_text(w, 10, a.text);
     return store::sealed(std::move(bytes));
 }
 
@@ -164,14 +165,14 @@
     std::string bytes;
     pbf_writer w(bytes);
     w.add_uint32(1, static_cast<std::uint32_t>(op.kind));
-    words(w, 2, op.task);
+    add_text(w, 2, op.task);
     w.add_uint64(3, op.holder);
-    words(w, 4, op.name);
+    add_text(w, 4, op.name);
     w.add_uint64(5, op.fence);
     w.add_double(6, op.length);
     w.add_bool(7, op.wait);
-    words(w, 8, op.next);
-    words(w, 9, op.text);
+    add_text(w, 8, op.next);
+    add_text(w, 9, op.text);
     if (op.number != 0) w.add_uint64(10, op.number);
     return bytes;
 }
--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -1,5 +1,5 @@
-// Questions, answers and operations as bytes: protozero, sealed like keepers' messages. Operations are not
-// sealed by themselves: the log's records are.
+// Binary encoding (protobuf wire format) of requests, responses and log operations. Requests and responses
+// carry a checksum like the Raft messages; operations don't, because the log's records do.
 #pragma once
 
 #include <optional>
@@ -13,9 +13,10 @@
 std::string encode(const Question& question);
 std::string encode(const Answer& answer);
 std::string encode(const Op& op);
-// None: not one of these; `why` then says what is wrong.
+// Return nothing for bytes that can't be decoded or are out of bounds; `why` then describes the fault.
 std::optional<Question> decode_question(std::string_view bytes, std::string& why);
 std::optional<Answer> decode_answer(std::string_view bytes, std::string& why);
+// Returns nothing for bytes that can't be decoded.
 std::optional<Op> decode_op(std::string_view bytes);
 
 }  // namespace cobaltshift::lease
--- a/src/lease/gate.hpp
+++ b/src/lease/gate.hpp
@@ -1,7 +1,9 @@
-// What is acted upon: lets an act pass only under a fence that is not lower than any it has let pass for the
-// task. Whatever clocks, pauses and late messages do, acts then take effect in the order of their rights. It
-// remembers bounded tasks; of one that was dropped it knows only that its fence was at most `floor_`. Entry
-// type: Gate.
+// Fencing check at the resource that lease holders act on. Entry type: Gate.
+//
+// An action is admitted only under a fencing token that is not lower than any admitted before for the task,
+// so that actions take effect in the order of their leases regardless of clock errors, paused processes and
+// delayed messages. The number of remembered tasks is bounded; the token of an evicted task is known to have
+// been at most `floor_`.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +15,13 @@
 
 namespace cobaltshift::lease {
 
+// Not thread-safe.
 class Gate {
 public:
+    // `most`: number of tasks to remember, at least 1.
     explicit Gate(std::size_t most = kMaxTasks) : most_(most) {}
 
+    // False: the token is 0 or lower than one admitted before.
     bool admit(std::string_view task, Fence fence) {
         const auto at = highest_.find(task);
         const Fence highest = at == highest_.end() ? floor_ : at->second;
@@ -28,7 +33,8 @@
             at->second = fence;
             return true;
         }
-        // Fences are one row over all tasks, so a floor of those dropped refuses too much, never too little.
+        // Tokens increase over all tasks together, so the floor of evicted tasks can only refuse valid
+        // actions, never admit stale ones.
         while (highest_.size() >= most_) {
             auto lowest = highest_.begin();
             for (auto it = highest_.begin(); it != highest_.end(); ++it)
--- a/src/lease/holder.cpp
+++ b/src/lease/holder.cpp
@@ -5,8 +5,9 @@
 namespace cobaltshift::lease {
 
 namespace {
-constexpr double kRenewAfter = 1.0 / 3, kSpread = 0.2;  // of the length; of each pause, both ways
-constexpr Millis kFirstPause = 50;
+constexpr double kRenewAfter = 1.0 / 3;  // fraction of the lease's duration
+constexpr double kSpread = 0.2;  // random variation of each interval, as a fraction in both directions
+constexpr Millis kInitialBackoff = 50;
 }  // namespace
 
 Holder::Holder(const HolderSettings& settings, std::uint64_t draw)
@@ -26,7 +27,8 @@
     const auto at = wanted_.find(task);
     if (at == wanted_.end()) return;
     Wanted& one = at->second;
-    // What may be held by a question on its way is given back too, once its answer tells the fence.
+    // A request still in flight may be granted; that lease is released once the response gives its fencing
+    // token.
     one.releasing = true;
     one.next = next;
     one.release_until = std::max(one.right.until, one.asked_at + one.length);
@@ -56,14 +58,14 @@
     return at == wanted_.end() ? std::string() : at->second.note;
 }
 
-void Holder::tick_note(Millis now, const std::string& task, Noting& noting) {
+void Holder::tick_note(Millis now, const std::string& task, PendingNote& noting) {
     if (noting.state != Note::on_its_way || now < noting.due) return;
     const auto held = right(now, task);
     if (!held || held->fence != noting.fence) {
         noting.state = Note::not_left;
         return;
     }
-    if (noting.number != 0) {  // unanswered
+    if (noting.number != 0) {  // the previous request timed out
         ++counts_.unanswered;
         keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
     }
@@ -80,12 +82,12 @@
     out_.push_back({keeper_, std::move(q)});
 }
 
-void Holder::heard_note(Millis now, const Answer& a, Noting& noting) {
+void Holder::on_note_answer(Millis now, const Answer& a, PendingNote& noting) {
     switch (a.kind) {
         case Answer::Kind::elsewhere:
             if (a.place < settings_.keepers) keeper_ = a.place;
             noting.number = 0;
-            noting.due = now + kFirstPause * lots_.unit();
+            noting.due = now + kInitialBackoff * lots_.unit();
             return;
         case Answer::Kind::done: {
             noting.state = Note::left;
@@ -138,16 +140,17 @@
             ++at;
             continue;
         }
-        if (one.releasing && now >= one.release_until) {  // it has ended by itself
+        if (one.releasing && now >= one.release_until) {  // the lease has expired anyway
             at = wanted_.erase(at);
             continue;
         }
         if (one.outstanding) {
-            // No answer: another keeper, after a pause that grows, lest all who ask come together.
+            // Timed out: try the next replica after a random, exponentially growing back-off, so that clients
+            // don't all retry at once.
             one.outstanding = false;
             ++counts_.unanswered;
             keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
-            one.pause = std::min(settings_.longest_pause, std::max(kFirstPause, 2 * one.pause));
+            one.pause = std::min(settings_.longest_pause, std::max(kInitialBackoff, 2 * one.pause));
             one.due = now + one.pause * lots_.unit();
             if (one.due > now) {
                 ++at;
@@ -163,20 +166,20 @@
     if (const auto noting = notes_.find(a.task); a.holder == settings_.id && noting != notes_.end() &&
                                                  a.number == noting->second.number && a.number != 0 &&
                                                  noting->second.state == Note::on_its_way)
-        return heard_note(now, a, noting->second);
+        return on_note_answer(now, a, noting->second);
     const auto at = wanted_.find(a.task);
     if (a.holder != settings_.id || at == wanted_.end() || a.number != at->second.number) return;
     Wanted& one = at->second;
     one.last = a;
     one.outstanding = false;
     if (a.kind == Answer::Kind::elsewhere) {
-        // To whom it names; if it knows nobody, the next one, and not at once.
+        // Go to the leader that the response names; if it names none, to the next replica after a back-off.
         if (a.place < settings_.keepers && a.place != keeper_) {
             keeper_ = a.place;
             one.due = now + 5 * lots_.unit();
         } else {
             keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
-            one.pause = std::min(settings_.longest_pause, std::max(kFirstPause, 2 * one.pause));
+            one.pause = std::min(settings_.longest_pause, std::max(kInitialBackoff, 2 * one.pause));
             one.due = now + one.pause * (0.5 + lots_.unit() / 2);
         }
         return;
@@ -186,13 +189,13 @@
     switch (a.kind) {
         case Answer::Kind::held:
             one.queued = false;
-            if (one.releasing) {  // given up while it was on its way: now its fence is known
+            if (one.releasing) {  // released while the request was in flight; its fencing token is known now
                 one.right.fence = a.fence;
                 one.due = now;
                 return;
             }
             if (one.right.fence != a.fence) one.counted = false;
-            // What is on its way, or was left since the question was sent, is newer than the answer's.
+            // Under an unchanged token, a note stored by this holder may be newer than the response's.
             if (one.right.fence != a.fence) one.note = a.text, notes_.erase(a.task);
             one.right.fence = a.fence;
             one.right.until = one.asked_at + a.length - settings_.margin;
@@ -215,7 +218,7 @@
             if (one.right.fence != 0) ++counts_.lost;
             one.right = {};
             one.counted = false;
-            one.due = now + kFirstPause * spread;
+            one.due = now + kInitialBackoff * spread;
             return;
         case Answer::Kind::done:
             if (one.releasing) wanted_.erase(at);
--- a/src/lease/holder.hpp
+++ b/src/lease/holder.hpp
@@ -1,11 +1,12 @@
-// Who acts: the rights of one process, asked for, renewed ahead of their end, and given back. Whoever is to
-// act asks right() just before; it never says yes past the end less the margin. Entry type: Holder; free of
-// I/O.
+// Client core of the lease service: acquires, renews and releases the leases of one process. Code that acts
+// on a task calls right() immediately before each action; it returns nothing from the lease's end less the
+// margin on. Entry type: Holder. Does no I/O. Not thread-safe. Times are milliseconds on the caller's
+// monotonic clock.
 //
-// Invariants: a right counts from when the question was handed out that its answer belongs to, never from
-// when the answer came; an answer to any other question than the newest about the task changes nothing; what
-// is given up is not acted upon from that moment on, whatever becomes of the message that says so. A note is
-// known to be left only once a keeper has said so; until then it may have been, or not.
+// Invariants: a lease counts from when its request was handed out, never from when the response arrived; a
+// response to any but the newest request about a task changes nothing; from give_up() on right() returns
+// nothing, whether or not the release reaches a replica. A note is known to be stored only once a replica
+// has confirmed it; until then it may or may not have been stored.
 #pragma once
 
 #include <map>
@@ -16,19 +17,19 @@
 #include "random.hpp"
 
 namespace cobaltshift::check {
-struct Describe;  // of the explicit-state checker (sim/check): reads all that a core knows
+struct Describe;  // reads the private state for the explicit-state checker (sim/check)
 }
 
 namespace cobaltshift::lease {
 
 struct HolderSettings {
-    HolderId id = 0;   // drawn for each run of the process
-    std::string name;  // for people
-    std::uint32_t keepers = 3;
-    Millis margin = 100;          // a right ends so long before its length is over
-    Millis answer = 500;          // without an answer so long, another keeper is asked
-    Millis longest_pause = 2000;  // between questions while nobody answers
-    Millis poll = 2000;           // of who waits in a queue
+    HolderId id = 0;              // random, new for each run of the process
+    std::string name;             // display name
+    std::uint32_t keepers = 3;    // number of replicas
+    Millis margin = 100;          // a lease is given up this long before its duration is over
+    Millis answer = 500;          // response timeout, after which the next replica is tried
+    Millis longest_pause = 2000;  // longest back-off between requests while no replica responds
+    Millis poll = 2000;           // interval of requests while waiting in a queue
 };
 
 class Holder {
@@ -37,36 +38,44 @@
         Fence fence = 0;
         Millis until = 0;  // by this holder's own clock
     };
+    // A request to be sent to replica `keeper`.
     struct Ask {
         std::uint32_t keeper = 0;
         Question question;
     };
     enum class State { idle, asking, waiting, held, releasing };
 
+    // `draw` seeds the random number generator.
     Holder(const HolderSettings& settings, std::uint64_t draw);
 
-    // Wants the task from now on, until give_up(). `length` within its range; `wait`: stands in the queue.
+    // Acquires the task and keeps renewing it until give_up(). `length` (ms) is clamped to its range;
+    // `wait`: join the queue if another holds the task.
     void want(Millis now, const std::string& task, Millis length, bool wait);
-    // Not acted upon from now on. `next`: who of those who wait is to have it.
+    // Releases the task; right() returns nothing from now on. `next`: name of the waiter that gets it first,
+    // if it is queued.
     void give_up(Millis now, const std::string& task, const std::string& next = "");
 
-    // Leaves `text` (fit_for_a_note()) for the task, under the right held now; asked again until it is
-    // answered or the right is over. A later one takes the place of one still on its way. False: no right.
+    // Stores `text` as the task's note under the lease held now, repeating the request until it is answered
+    // or the lease has ended. A later note replaces one that is still pending. False: no lease is held, or
+    // `text` is not allowed.
     bool leave_note(Millis now, const std::string& task, const std::string& text);
-    enum class Note { none, on_its_way, left, not_left };  // of the last one; not_left: nobody may know
+    // State of the last note. not_left: refused, or the lease ended before a response came; then it may have
+    // been stored.
+    enum class Note { none, on_its_way, left, not_left };
     Note note_state(const std::string& task) const;
-    // What is left for the task, as far as is known: as given with the right, or by this holder since.
+    // The task's note as far as known: received with the grant, or stored by this holder afterwards.
     std::string note(const std::string& task) const;
 
     void tick(Millis now);
-    Millis due() const;
-    // Whatever does not belong to the newest question about its task is dropped.
+    Millis due() const;  // when tick() must be called next; 1e18: never
+    // Handles a response. One that doesn't belong to the newest request about its task is ignored.
     void heard(Millis now, const Answer& answer);
-    std::vector<Ask> take();  // questions to be sent
+    std::vector<Ask> take();  // requests to be sent
 
+    // The lease, if it may still be acted upon at `now`.
     std::optional<Right> right(Millis now, const std::string& task) const;
     State state(const std::string& task) const;
-    // The last answer about it, for people.
+    // The last response about the task, for display; null: the task is unknown.
     const Answer* last(const std::string& task) const;
 
     struct Counts {
@@ -80,31 +89,31 @@
         Millis length = 0;
         bool wait = false, releasing = false, outstanding = false;
         std::string next;
-        Right right;           // until <= now: none
-        bool counted = false;  // in `gained`, for this fence
+        Right right;           // expired if until <= now
+        bool counted = false;  // in `gained`, for this fencing token
         std::uint64_t number = 0;
         Millis asked_at = 0, due = 0, pause = 0, release_until = 0;
         Answer last;
         bool queued = false;
-        std::string note;  // known to be left
+        std::string note;  // known to be stored
     };
-    struct Noting {
+    struct PendingNote {
         Note state = Note::none;
         Fence fence = 0;
         std::string text;
         std::uint64_t number = 0;
         Millis due = 0;
     };
-    void tick_note(Millis now, const std::string& task, Noting& noting);
-    void heard_note(Millis now, const Answer& answer, Noting& noting);
+    void tick_note(Millis now, const std::string& task, PendingNote& noting);
+    void on_note_answer(Millis now, const Answer& answer, PendingNote& noting);
     void ask(Millis now, const std::string& task, Wanted& one);
 
     HolderSettings settings_;
     kelplb::Random lots_;
-    std::uint32_t keeper_;  // believed to lead
+    std::uint32_t keeper_;  // replica believed to be the leader
     std::uint64_t next_number_ = 1;
     std::map<std::string, Wanted> wanted_;
-    std::map<std::string, Noting> notes_;
+    std::map<std::string, PendingNote> notes_;
     std::vector<Ask> out_;
     Counts counts_;
 };
--- a/src/lease/office.cpp
+++ b/src/lease/office.cpp
@@ -7,11 +7,11 @@
 namespace cobaltshift::lease {
 
 namespace {
-constexpr Millis kLookAtWaiters = 500;
-constexpr std::size_t kNewestMost = 20000;  // holders whose last question's number is remembered
-constexpr std::size_t kListedMost = 2000;
+constexpr Millis kWaiterCheckInterval = 500;
+constexpr std::size_t kMaxTrackedHolders = 20000;  // holders whose latest request number is remembered
+constexpr std::size_t kMaxListedTasks = 2000;
 
-Op op_of(Op::Kind kind, const std::string& task, HolderId holder, Fence fence) {
+Op make_op(Op::Kind kind, const std::string& task, HolderId holder, Fence fence) {
     Op op;
     op.kind = kind;
     op.task = task;
@@ -27,7 +27,7 @@
 void Office::heard(Millis now, const raft::Message& message) {
     now_ = now;
     keeper_.on_message(now, message);
-    if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) end_to_lead();
+    if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) on_leadership_lost();
 }
 
 Millis Office::due() const {
@@ -40,21 +40,21 @@
 void Office::tick(Millis now) {
     now_ = now;
     keeper_.tick(now);
-    if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) end_to_lead();
+    if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) on_leadership_lost();
     if (!leads_) return;
     while (!lapses_.empty() && lapses_.begin()->first <= now) {
         const std::string task = lapses_.begin()->second;
         lapses_.erase(lapses_.begin());
         Held& held = held_.at(task);
         held.lapsing = true;
-        // Whoever waits and has been silent is passed over, or the right would be nobody's for another
-        // length.
+        // Silent waiters are removed first: granted to one of them, the task would be unused for another
+        // lease duration.
         withdraw_silent(now, task, settings_.waiter_silence / 2);
-        propose(op_of(Op::Kind::lapse, task, 0, held.fence));
+        propose(make_op(Op::Kind::lapse, task, 0, held.fence));
         ++counts_.lapses;
     }
     if (now < waiters_due_) return;
-    waiters_due_ = now + kLookAtWaiters;
+    waiters_due_ = now + kWaiterCheckInterval;
     for (const auto& [name, task] : book_.tasks()) withdraw_silent(now, name, settings_.waiter_silence);
     std::erase_if(asking_,
                   [&](const auto& at) { return now >= at.second.at + 2 * settings_.waiter_silence; });
@@ -66,16 +66,16 @@
     if (!task) return;
     for (const Book::Waiter& waiter : task->queue) {
         Heard& heard = asking_[{name, waiter.holder}];
-        if (heard.at == 0) heard.at = now;  // in the queue before this keeper led
+        if (heard.at == 0) heard.at = now;  // queued before this replica became leader
         if (now < heard.at + silence) continue;
         heard.at = now;
-        propose(op_of(Op::Kind::withdraw, name, waiter.holder, 0));
+        propose(make_op(Op::Kind::withdraw, name, waiter.holder, 0));
     }
 }
 
-// ---- Questions -------------------------------------------------------------------------------------------
+// ---- Requests --------------------------------------------------------------------------------------------
 
-void Office::say(Client client, const Question& question, Answer answer) {
+void Office::reply(Client client, const Question& question, Answer answer) {
     answer.holder = question.holder;
     answer.number = question.number;
     answer.task = question.task;
@@ -93,17 +93,17 @@
         if (!leads_ && keeper_.role() != raft::RaftNode::Role::leader)
             answer.place = keeper_.leader_number().value_or(Answer::kUnknown);
         ++counts_.elsewhere;
-        return say(client, question, answer);
+        return reply(client, question, answer);
     }
     if (question.kind == Question::Kind::list) {
-        if (reads_.size() < settings_.questions && keeper_.confirm(next_question_))
-            reads_[next_question_++] = {client, question};
+        if (pending_reads_.size() < settings_.questions && keeper_.confirm(next_question_))
+            pending_reads_[next_question_++] = {client, question};
         return;
     }
-    // Doubled, or late: its holder has asked something newer since.
+    // Requests that are not newer than the holder's latest are duplicates or were delayed; they are dropped.
     auto newest = newest_.find(question.holder);
     if (newest == newest_.end()) {
-        if (newest_.size() >= kNewestMost) newest_.erase(newest_.begin());
+        if (newest_.size() >= kMaxTrackedHolders) newest_.erase(newest_.begin());
         newest = newest_.try_emplace(question.holder).first;
     }
     if (question.number <= newest->second.first) {
@@ -119,12 +119,12 @@
             if (!task || task->holder != question.holder || task->fence != question.fence) {
                 if (task && std::any_of(task->queue.begin(), task->queue.end(),
                                         [&](const Book::Waiter& w) { return w.holder == question.holder; })) {
-                    propose(op_of(Op::Kind::withdraw, question.task, question.holder, 0));
+                    propose(make_op(Op::Kind::withdraw, question.task, question.holder, 0));
                 }
                 answer.kind = Answer::Kind::lost;
-                return say(client, question, answer);
+                return reply(client, question, answer);
             }
-            Op op = op_of(Op::Kind::release, question.task, question.holder, question.fence);
+            Op op = make_op(Op::Kind::release, question.task, question.holder, question.fence);
             op.next = question.next;
             if (propose(op)) ending_[{question.task, question.holder}] = {client, question.number};
             return;
@@ -133,31 +133,32 @@
             const Book::Task* task = book_.find(question.task);
             if (!task || (question.fence != 0 && task->fence != question.fence)) {
                 answer.kind = Answer::Kind::lost;
-                return say(client, question, answer);
+                return reply(client, question, answer);
             }
-            if (propose(op_of(Op::Kind::revoke, question.task, question.holder, task->fence)))
+            if (propose(make_op(Op::Kind::revoke, question.task, question.holder, task->fence)))
                 ending_[{question.task, question.holder}] = {client, question.number};
             return;
         }
         case Question::Kind::note:
             if (note(client, question)) return;
-            // Perhaps given by another leader since: only a majority's word tells.
-            if (reads_.size() < settings_.questions && keeper_.confirm(next_question_))
-                reads_[next_question_++] = {client, question};
+            // A newer leader may have granted the lease meanwhile, so `lost` is answered only once this
+            // replica's leadership is confirmed.
+            if (pending_reads_.size() < settings_.questions && keeper_.confirm(next_question_))
+                pending_reads_[next_question_++] = {client, question};
             return;
         case Question::Kind::list:
             return;
     }
 }
 
-// False: its fence is not the task's.
+// Proposes the note. False: the request's fencing token is not the task's current one.
 bool Office::note(Client client, const Question& question) {
     const Book::Task* task = book_.find(question.task);
     if (!task || task->fence != question.fence) return false;
-    Op op = op_of(Op::Kind::note, question.task, question.holder, question.fence);
+    Op op = make_op(Op::Kind::note, question.task, question.holder, question.fence);
     op.text = question.text;
     op.number = question.number;
-    if (propose(std::move(op))) noting_[{question.task, question.holder}] = {client, question.number};
+    if (propose(std::move(op))) pending_notes_[{question.task, question.holder}] = {client, question.number};
     return true;
 }
 
@@ -169,7 +170,7 @@
         if (task->revoked || held == held_.end() || held->second.lapsing) {
             answer.kind = Answer::Kind::lost;
             answer.fence = task->fence;
-            return say(client, question, answer);
+            return reply(client, question, answer);
         }
         if (renewals_.size() >= settings_.questions || !keeper_.confirm(next_question_)) return;
         renewals_[next_question_++] = {client, question.holder, question.number, question.task, task->fence};
@@ -178,7 +179,7 @@
     if (task && !question.wait) {
         answer.kind = Answer::Kind::refused;
         answer.by = task->name;
-        return say(client, question, answer);
+        return reply(client, question, answer);
     }
     Heard& heard = asking_[{question.task, question.holder}];
     heard.at = now;
@@ -189,30 +190,31 @@
                 answer.kind = Answer::Kind::queued;
                 answer.place = static_cast<std::uint32_t>(i);
                 answer.by = task->name;
-                return say(client, question, answer);
+                return reply(client, question, answer);
             }
-    Op op = op_of(Op::Kind::want, question.task, question.holder, 0);
+    Op op = make_op(Op::Kind::want, question.task, question.holder, 0);
     op.name = question.name;
     op.length = question.length;
     op.wait = question.wait;
     propose(op);
 }
 
-// The majority's word has come: this keeper led after the question came.
-void Office::confirmed(Millis now, std::uint64_t question) {
-    if (const auto read = reads_.find(question); read != reads_.end()) {
+// A majority has confirmed that this replica still led after it received the request with this read id.
+void Office::on_leadership_confirmed(Millis now, std::uint64_t question) {
+    if (const auto read = pending_reads_.find(question); read != pending_reads_.end()) {
         const Read one = std::move(read->second);
-        reads_.erase(read);
+        pending_reads_.erase(read);
         Answer answer;
         if (one.question.kind == Question::Kind::note) {
-            // Given meanwhile: it is asked again, and proposed then; nothing is proposed from within take().
+            // The token has become current meanwhile. Nothing may be proposed from within take(), so the
+            // note is proposed when the holder repeats its request.
             const Book::Task* task = book_.find(one.question.task);
             if (task && task->fence == one.question.fence) return;
         } else {
             answer.kind = Answer::Kind::listed;
-            answer.text = listed(one.question.task, now);
+            answer.text = list_tasks(one.question.task, now);
         }
-        return say(one.client, one.question, answer);
+        return reply(one.client, one.question, answer);
     }
     const auto at = renewals_.find(question);
     if (at == renewals_.end()) return;
@@ -230,35 +232,35 @@
         held == held_.end() || held->second.lapsing) {
         answer.kind = Answer::Kind::lost;
     } else {
-        set_until(renewal.task, held->second, now + wait_for(task->length, settings_.drift));
+        extend_timer(renewal.task, held->second, now + wait_for(task->length, settings_.drift));
         answer.kind = Answer::Kind::held;
         answer.length = task->length;
         answer.text = book_.note(renewal.task);
         ++counts_.renewals;
     }
-    say(renewal.client, q, answer);
+    reply(renewal.client, q, answer);
 }
 
 // ---- Applying --------------------------------------------------------------------------------------------
 
-void Office::set_until(const std::string& task, Held& held, Millis until) {
+void Office::extend_timer(const std::string& task, Held& held, Millis until) {
     lapses_.erase({held.until, task});
     held.until = std::max(held.until, until);
     lapses_.insert({held.until, task});
 }
 
-void Office::forget(const std::string& task) {
+void Office::remove_timer(const std::string& task) {
     const auto at = held_.find(task);
     if (at == held_.end()) return;
     lapses_.erase({at->second.until, task});
     held_.erase(at);
 }
 
-void Office::give(Millis now, const std::string& task, const Book::Task& held) {
-    forget(task);
+void Office::restart_timer(Millis now, const std::string& task, const Book::Task& held) {
+    remove_timer(task);
     Held& mine = held_[task];
     mine.fence = held.fence;
-    set_until(task, mine, now + wait_for(held.length, settings_.drift));
+    extend_timer(task, mine, now + wait_for(held.length, settings_.drift));
 }
 
 void Office::apply(Millis now, const raft::Committed& one) {
@@ -270,9 +272,9 @@
     if (!leads_) return;
     const Book::Task* task = book_.find(op->task);
     if (!task)
-        forget(op->task);
+        remove_timer(op->task);
     else if (effect.outcome == Book::Outcome::granted)
-        give(now, op->task, *task);
+        restart_timer(now, op->task, *task);
     Question q;
     q.task = op->task;
     Answer answer;
@@ -286,7 +288,7 @@
             answer.fence = effect.fence;
             answer.length = task->length;
             answer.text = book_.note(op->task);
-            if (q.number != 0) say(asker->second.asker.client, q, answer);
+            if (q.number != 0) reply(asker->second.asker.client, q, answer);
             asking_.erase(asker);
         }
     }
@@ -304,8 +306,7 @@
             while (answer.place < task->queue.size() && task->queue[answer.place].holder != op->holder)
                 ++answer.place;
         } else {
-            // `nothing`: it holds the task already, by an earlier one of its own; its next question renews
-            // it.
+            // `nothing`: an earlier request of this holder was granted; its next request renews the lease.
             answer.kind = effect.outcome == Book::Outcome::refused ? Answer::Kind::refused
                           : effect.outcome == Book::Outcome::full  ? Answer::Kind::full
                                                                    : Answer::Kind::lost;
@@ -313,11 +314,11 @@
             asking_.erase(asker);
             if (effect.outcome == Book::Outcome::nothing) return;
         }
-        return say(client, q, answer);
+        return reply(client, q, answer);
     }
     const bool notes = op->kind == Op::Kind::note;
     if (!notes && op->kind != Op::Kind::release && op->kind != Op::Kind::revoke) return;
-    auto& askers = notes ? noting_ : ending_;
+    auto& askers = notes ? pending_notes_ : ending_;
     const auto asker = askers.find({op->task, op->holder});
     if (asker == askers.end()) return;
     q.holder = op->holder;
@@ -330,27 +331,28 @@
     answer.fence = op->fence;
     const Client client = asker->second.client;
     askers.erase(asker);
-    say(client, q, answer);
+    reply(client, q, answer);
 }
 
-// All that this leader's predecessors may have confirmed is waited out.
-void Office::begin_to_lead(Millis now) {
+// Starts the timers of all leases anew, as earlier leaders may have confirmed renewals that this replica
+// doesn't know of.
+void Office::on_leadership_gained(Millis now) {
     leads_ = true;
     led_term_ = keeper_.term();
-    waiters_due_ = now + kLookAtWaiters;
-    for (const auto& [name, task] : book_.tasks()) give(now, name, task);
+    waiters_due_ = now + kWaiterCheckInterval;
+    for (const auto& [name, task] : book_.tasks()) restart_timer(now, name, task);
 }
 
-// Who asked is not told: another may have heard the same question since. They ask again.
-void Office::end_to_lead() {
+// Pending requests get no response, as another leader may have served the same request. The holders retry.
+void Office::on_leadership_lost() {
     leads_ = false;
     held_.clear();
     lapses_.clear();
     asking_.clear();
     ending_.clear();
-    noting_.clear();
+    pending_notes_.clear();
     renewals_.clear();
-    reads_.clear();
+    pending_reads_.clear();
     newest_.clear();
 }
 
@@ -366,21 +368,21 @@
         applied_ = output.ready.restored->index;
     }
     for (const raft::Committed& one : output.ready.committed) apply(now, one);
-    // After what was committed by others is applied, and not before an own entry is.
-    if (!leads_ && keeper_.leads() && applied_ == keeper_.commit()) begin_to_lead(now);
-    for (const std::uint64_t question : output.ready.confirmed) confirmed(now, question);
+    // Only once all entries committed by earlier leaders and one of the own term are applied.
+    if (!leads_ && keeper_.leads() && applied_ == keeper_.commit()) on_leadership_gained(now);
+    for (const std::uint64_t question : output.ready.confirmed) on_leadership_confirmed(now, question);
     output.replies.swap(replies_);
     if (applied_ >= keeper_.first() && applied_ - keeper_.first() + 1 >= settings_.compact_after)
         keeper_.compact(applied_, book_.save());
     return output;
 }
 
-std::string Office::listed(const std::string& prefix, Millis now) const {
+std::string Office::list_tasks(const std::string& prefix, Millis now) const {
     std::string text;
     std::size_t count = 0;
     for (auto at = book_.tasks().lower_bound(prefix); at != book_.tasks().end(); ++at) {
         if (!at->first.starts_with(prefix)) break;
-        if (++count > kListedMost) {
+        if (++count > kMaxListedTasks) {
             text += "...\n";
             break;
         }
@@ -391,7 +393,7 @@
                 std::to_string(at->second.queue.size()) + (at->second.revoked ? "\trevoked\t" : "\theld\t") +
                 book_.note(at->first) + "\n";
     }
-    // What is left though nobody holds the task just now.
+    // Notes of tasks that nobody holds.
     for (auto at = book_.notes().lower_bound(prefix); at != book_.notes().end(); ++at) {
         if (!at->first.starts_with(prefix)) break;
         if (!book_.find(at->first)) text += at->first + "\t\t0\t0\t0\tfree\t" + at->second.text + "\n";
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -1,5 +1,7 @@
-// Rights to act: what is asked of keepers, what they answer, and what they keep. Entry types of the package:
-// Office (a keeper's whole, office.hpp), Holder (who acts, holder.hpp), Gate (what is acted upon, gate.hpp).
+// Requests, responses and log operations of the replicated lease service. A lease gives one holder the
+// exclusive right to act on a named task for a limited time. Entry types of the package: the server core that
+// runs in each replica (office.hpp), Holder (the client core, holder.hpp) and Gate (checks fencing tokens at
+// the resource that holders act on, gate.hpp).
 #pragma once
 
 #include <cstddef>
@@ -11,30 +13,35 @@
 namespace cobaltshift::lease {
 
 using raft::Millis;
-using HolderId = std::uint64_t;  // of one run of a holder's process, drawn; 0: nobody
-// Of one right. Over all tasks they only grow, whatever crashes, as long as a majority keeps its folders.
+// Random id of one incarnation of a holder's process; 0 means none.
+using HolderId = std::uint64_t;
+// Fencing token of one lease. Tokens increase strictly over all tasks, across any crashes, as long as a
+// majority of the replicas keeps its data directories.
 using Fence = std::uint64_t;
 
-// kMaxWaiters: in all queues together. With names of full length a book still goes into one snapshot.
+// Limits of the replicated state; kMaxWaiters counts all queues together. A state at these limits with names
+// of full length still fits into one snapshot.
 constexpr std::size_t kMaxName = 128, kMaxTasks = 12000, kMaxQueue = 64, kMaxWaiters = 12000,
                       kMaxQuestionBytes = 4096;
-// A few bytes that a task's holder leaves for whoever has it next, and for all who ask: printable, kept by a
-// majority before they count.
+// A note is a short printable text that a task's holder stores for the next holder and for anyone who lists
+// the task. It takes effect once a majority has persisted it. kMaxNote: size of one note in bytes;
+// kMaxNotes: notes of all tasks together.
 constexpr std::size_t kMaxNote = 1024, kMaxNotes = 256;
-constexpr Millis kShortest = 200, kLongest = 3600000;  // a right's length
+constexpr Millis kShortest = 200, kLongest = 3600000;  // limits of a lease's duration, ms
 
+// A request to a replica. Only the leader serves it.
 struct Question {
     enum class Kind : std::uint8_t {
-        want,     // the right, or its renewal; `wait`: or a place in the queue
-        release,  // of `fence`; `next`: the name of who waits and is to have it now
-        revoke,   // by an operator: the right is not renewed, and ends
-        list,     // tasks whose name begins with `task`
-        note,     // `text` is left under `fence`, if that is the task's; empty: taken away
+        want,     // acquire or renew the lease; with `wait`, join the queue if another holds it
+        release,  // end the lease `fence`; `next`: name of the waiter that gets it first, if any
+        revoke,   // by an operator: the lease is not renewed any more and runs out
+        list,     // tasks whose names start with `task`
+        note,     // store `text`, if `fence` is the task's current one; an empty text removes the note
     };
     Kind kind = Kind::want;
     HolderId holder = 0;
-    std::uint64_t number = 0;  // grows with each question of this holder
-    std::string name;          // of the holder, for people
+    std::uint64_t number = 0;  // request number, increases with each request of this holder
+    std::string name;          // display name of the holder
     std::string task;
     Fence fence = 0;
     Millis length = 10000;
@@ -43,21 +50,22 @@
     std::string text;
 };
 
+// A replica's response to one request.
 struct Answer {
     enum class Kind : std::uint8_t {
-        held,       // until `length` after the question was sent; `text`: the note left for the task
-        queued,     // `place` from 0 on
-        refused,    // `by` holds it
-        lost,       // what the question speaks of is over
-        done,       // released, revoked, noted
-        elsewhere,  // ask keeper `place`, if known (else kUnknown)
-        full,       // no room for another task, another in the queue, another note
-        listed,     // `text`
+        held,       // until `length` after the request was sent; `text`: the task's note
+        queued,     // at position `place`, counted from 0
+        refused,    // the task is held by `by`
+        lost,       // the lease that the request refers to has ended
+        done,       // the release, revocation or note has been committed
+        elsewhere,  // not the leader; `place`: number of the leader, or kUnknown
+        full,       // the limit of tasks, waiters or notes is reached
+        listed,     // `text`: one line per task
     };
     static constexpr std::uint32_t kUnknown = UINT32_MAX;
     Kind kind = Kind::lost;
     HolderId holder = 0;
-    std::uint64_t number = 0;  // the question's
+    std::uint64_t number = 0;  // request number, echoed
     std::string task;
     Fence fence = 0;
     Millis length = 0;
@@ -65,7 +73,7 @@
     std::string by, text;
 };
 
-// What goes into the log.
+// An operation of the replicated state machine, stored in the Raft log.
 struct Op {
     enum class Kind : std::uint8_t { want, release, lapse, revoke, withdraw, note };
     Kind kind = Kind::want;
@@ -77,10 +85,10 @@
     bool wait = false;
     std::string next;
     std::string text;
-    std::uint64_t number = 0;  // of the question that a note came in
+    std::uint64_t number = 0;  // request number of a note
 };
 
-// What a note may hold: text for people and programs, of one line.
+// Whether `text` is allowed as a note: at most kMaxNote bytes on one line, without control characters.
 inline bool fit_for_a_note(const std::string& text) {
     if (text.size() > kMaxNote) return false;
     for (const unsigned char c : text)
--- a/src/lease_cli.cpp
+++ b/src/lease_cli.cpp
@@ -22,9 +22,9 @@
 
 using nlohmann::json;
 
-const std::string kMark = "\x01";
+const std::string kPassThroughPrefix = "\x01";
 
-// 1500ms, 30s, 2m; without a unit: seconds. In milliseconds.
+// Parses a duration such as 1500ms, 30s or 2m to milliseconds. The unit is required.
 CLI::Validator duration() {
     return CLI::AsNumberWithUnit(std::map<std::string, double>{{"ms", 1}, {"s", 1000}, {"m", 60000}},
                                  CLI::AsNumberWithUnit::UNIT_REQUIRED, "DURATION");
@@ -44,9 +44,9 @@
     return q;
 }
 
-// The answer of the keeper that leads.
-std::optional<lease::Answer> asked(const lease::KeepersSettings& settings, const lease::Question& q,
-                                   lease::Millis within) {
+// Returns the leader's response, or nothing if none arrived within `within` ms.
+std::optional<lease::Answer> ask_leader(const lease::KeepersSettings& settings, const lease::Question& q,
+                                        lease::Millis within) {
     std::optional<lease::Answer> answer;
     lease::ask(settings, lease::FrameKind::question, encode(q), millis(within),
                [&](std::uint32_t, lease::FrameKind kind, std::string_view payload) {
@@ -60,12 +60,12 @@
     return answer;
 }
 
-int nobody_leads(lease::Millis within) {
+int report_no_leader(lease::Millis within) {
     std::cerr << "cobaltshift: no keeper that leads answered within " << within / 1000 << " s\n";
     return 1;
 }
 
-// What every keeper that answers says of itself, by number.
+// The status of each replica that responds within `within` ms, by number.
 std::map<std::uint32_t, json> statuses(const lease::KeepersSettings& settings, lease::Millis within) {
     std::map<std::uint32_t, json> all;
     lease::ask(settings, lease::FrameKind::order, json{{"do", "status"}}.dump(), millis(within),
@@ -107,59 +107,67 @@
 
 LeaseCli::LeaseCli(CLI::App& app, std::string& settings_file) : file_(settings_file) {
     const auto common = [&](CLI::App* command, bool needed = true) {
-        auto* option = command->add_option("--settings", file_, "our own settings; [keepers] is needed");
+        auto* option =
+            command->add_option("--settings", file_, "settings file; its section [keepers] is required");
         if (needed) option->required();
         return command;
     };
     const auto asks = [&](CLI::App* command) {
         common(command);
         command->add_flag("--json", json_, "one JSON value instead of a table");
-        command->add_option("--within", within_, "for an answer")->transform(duration());
+        command->add_option("--within", within_, "time limit for the answer")->transform(duration());
         return command;
     };
-    keeper_ = common(app.add_subcommand("keeper", "one of the few that agree who holds which right"), false);
+    keeper_ =
+        common(app.add_subcommand("keeper", "runs or administers a replica of the lease service"), false);
     keeper_->require_subcommand(0, 1);
-    found_ = common(
-        keeper_->add_subcommand("found", "once for each first keeper: makes its empty folder a founder's"));
-    status_ = asks(keeper_->add_subcommand("status", "what each keeper says of itself; 1 if none leads"));
-    remove_ = asks(keeper_->add_subcommand("remove", "a stopped keeper is no member any more"));
+    found_ = common(keeper_->add_subcommand(
+        "found", "initialises the empty folder of one of the first keepers; run once for each"));
+    status_ =
+        asks(keeper_->add_subcommand("status", "shows each keeper's status; exit code 1 if none leads"));
+    remove_ = asks(keeper_->add_subcommand("remove", "removes a stopped keeper from the members"));
     remove_->add_option("KEEPER", number_, "its number")->required();
-    add_ = asks(
-        keeper_->add_subcommand("add", "waits until a keeper that has been started is a member with a vote"));
+    add_ = asks(keeper_->add_subcommand("add", "waits until a started keeper is a voting member"));
     add_->add_option("KEEPER", number_, "its number")->required();
-    lease_ = app.add_subcommand("lease", "rights to tasks of the whole fleet");
+    lease_ = app.add_subcommand("lease", "leases of tasks that one process of the fleet may run at a time");
     lease_->require_subcommand(1);
-    run_ = common(lease_->add_subcommand("run", "runs a command while it holds the right to a task"));
+    run_ = common(lease_->add_subcommand("run", "runs a command while holding the lease of a task"));
     run_->add_option("TASK", command_.task)->required();
-    run_->add_option("--length", command_.length, "of the right between renewals")->transform(duration());
+    run_->add_option("--length", command_.length, "duration of the lease; it is renewed before its end")
+        ->transform(duration());
     run_->add_option("--grace", command_.grace,
-                     "between SIGTERM and the right's end; a third of the length at most")
+                     "time between SIGTERM and the lease's end; at most a third of the length")
         ->transform(duration());
-    run_->add_flag("--no-wait", no_wait_, "ends at once with 75 where another holds it");
-    run_->add_option("--wait", command_.wait_at_most, "ends with 75 where it isn't held within this time")
+    run_->add_flag("--no-wait", no_wait_, "exits at once with 75 if another process holds the task");
+    run_->add_option("--wait", command_.wait_at_most,
+                     "exits with 75 if the lease is not acquired within this time")
         ->transform(duration());
-    run_->add_option("--name", command_.name, "of this process, for people; else host and process id");
-    run_->add_option("--next", command_.next, "who of those who wait is to have it afterwards");
+    run_->add_option("--name", command_.name, "display name of this process; default: host and process id");
+    run_->add_option("--next", command_.next, "name of the waiting process that gets the task afterwards");
     run_->add_option("COMMAND", command_.words, "after --")->required();
-    list_ = asks(lease_->add_subcommand("list", "who holds what"));
-    list_->add_option("PREFIX", task_, "of tasks' names");
-    show_ = asks(lease_->add_subcommand("show", "who holds this task; 1 if nobody does"));
+    list_ = asks(lease_->add_subcommand("list", "lists the held tasks and their holders"));
+    list_->add_option("PREFIX", task_, "only tasks whose names start with this");
+    show_ =
+        asks(lease_->add_subcommand("show", "shows the holder of a task; exit code 1 if nobody holds it"));
     show_->add_option("TASK", task_)->required();
-    revoke_ = asks(
-        lease_->add_subcommand("revoke", "the right to a task is not renewed: it ends within its length"));
+    revoke_ = asks(lease_->add_subcommand(
+        "revoke", "stops the renewal of a task's lease, which ends within its length"));
     revoke_->add_option("TASK", task_)->required();
     note_ = asks(lease_->add_subcommand(
-        "note", "leaves a line for whoever has the task next; 76 if the fence is the task's no more"));
+        "note",
+        "stores a note for the next holder of a task; exit code 76 if the fence is no longer current"));
     note_->add_option("TASK", task_)->required();
-    note_->add_option("TEXT", text_, "of 1024 bytes at most; empty: takes it away")->required();
-    note_->add_option("--fence", fence_, "the right's number")->envname("COBALTSHIFT_FENCE")->required();
+    note_->add_option("TEXT", text_, "at most 1024 bytes; empty: removes the note")->required();
+    note_->add_option("--fence", fence_, "fencing token of the lease")
+        ->envname("COBALTSHIFT_FENCE")
+        ->required();
 }
 
 std::vector<std::string> LeaseCli::words(int argc, const char* const* argv) {
     std::vector<std::string> all;
     bool behind = false;
     for (int i = 1; i < argc; ++i) {
-        all.push_back(behind ? kMark + std::string(argv[i]) : argv[i]);
+        all.push_back(behind ? kPassThroughPrefix + std::string(argv[i]) : argv[i]);
         behind = behind || all.back() == "--";
     }
     std::reverse(all.begin(), all.end());
@@ -186,7 +194,7 @@
         if (add_->parsed()) return add();
         return keep();
     }
-    if (run_->parsed()) return run_under_right();
+    if (run_->parsed()) return run_with_lease();
     if (list_->parsed()) return list(false);
     if (show_->parsed()) return list(true);
     if (note_->parsed()) return note();
@@ -269,7 +277,7 @@
                                      said = json::parse(payload, nullptr, false);
                                      return said.is_object() && said.value("error", "") != "does not lead";
                                  });
-    if (!done) return nobody_leads(within_);
+    if (!done) return report_no_leader(within_);
     if (said.contains("error")) {
         std::cerr << "cobaltshift: " << said.value("error", "") << '\n';
         return 1;
@@ -295,11 +303,11 @@
     return 1;
 }
 
-// ---- Rights ----------------------------------------------------------------------------------------------
+// ---- Leases ----------------------------------------------------------------------------------------------
 
 int LeaseCli::list(bool exactly_one) {
-    const auto answer = asked(settings_.keepers, question(lease::Question::Kind::list, task_), within_);
-    if (!answer) return nobody_leads(within_);
+    const auto answer = ask_leader(settings_.keepers, question(lease::Question::Kind::list, task_), within_);
+    if (!answer) return report_no_leader(within_);
     std::vector<Row> all = rows(answer->text);
     if (exactly_one) std::erase_if(all, [&](const Row& row) { return row.task != task_; });
     if (json_) {
@@ -326,8 +334,9 @@
 }
 
 int LeaseCli::revoke() {
-    const auto answer = asked(settings_.keepers, question(lease::Question::Kind::revoke, task_), within_);
-    if (!answer) return nobody_leads(within_);
+    const auto answer =
+        ask_leader(settings_.keepers, question(lease::Question::Kind::revoke, task_), within_);
+    if (!answer) return report_no_leader(within_);
     if (answer->kind != lease::Answer::Kind::done) {
         std::cerr << "cobaltshift: nobody holds " << task_ << '\n';
         return 1;
@@ -344,13 +353,14 @@
     lease::Question q = question(lease::Question::Kind::note, task_);
     q.fence = fence_;
     q.text = text_;
-    // All who leave notes by this command under one right count in one row, by this machine's clock.
+    // All invocations of this command under one lease share a holder id and take increasing request numbers
+    // from this machine's clock.
     q.holder = 1ULL << 63 | fence_;
     q.number = static_cast<std::uint64_t>(lease::own_clock() * 1000);
-    const auto answer = asked(settings_.keepers, q, within_);
-    if (!answer) return nobody_leads(within_);
+    const auto answer = ask_leader(settings_.keepers, q, within_);
+    if (!answer) return report_no_leader(within_);
     if (answer->kind == lease::Answer::Kind::full) {
-        std::cerr << "cobaltshift: keepers hold as many notes as they may\n";
+        std::cerr << "cobaltshift: the limit of notes is reached\n";
         return 1;
     }
     if (answer->kind != lease::Answer::Kind::done) {
@@ -361,10 +371,10 @@
     return 0;
 }
 
-int LeaseCli::run_under_right() {
+int LeaseCli::run_with_lease() {
     command_.wait = !no_wait_;
     for (std::string& word : command_.words)
-        if (word.starts_with(kMark)) word.erase(0, kMark.size());
+        if (word.starts_with(kPassThroughPrefix)) word.erase(0, kPassThroughPrefix.size());
     if (command_.length < lease::kShortest || command_.length > lease::kLongest ||
         settings_.keepers.margin > command_.length / 3) {
         std::cerr << "cobaltshift: --length must be between 200ms and 60m, and three times keepers.margin_ms "
@@ -373,7 +383,8 @@
     }
     if (command_.task.empty() || command_.task.size() > lease::kMaxName ||
         std::any_of(command_.task.begin(), command_.task.end(), [](unsigned char c) { return c < 0x20; })) {
-        std::cerr << "cobaltshift: a task's name has 1 to " << lease::kMaxName << " bytes, none of control\n";
+        std::cerr << "cobaltshift: a task's name has 1 to " << lease::kMaxName
+                  << " bytes and no control characters\n";
         return 2;
     }
     return lease::run_command(settings_.keepers, command_);
--- a/src/lease_cli.hpp
+++ b/src/lease_cli.hpp
@@ -1,4 +1,4 @@
-// The command line of keepers and rights: `cobaltshift keeper`, `cobaltshift lease`. Entry type: LeaseCli.
+// Command line of the lease service: `cobaltshift keeper` and `cobaltshift lease`. Entry type: LeaseCli.
 // Exit codes as in main.cpp; those of `lease run` in lease_io/run_command.hpp.
 #pragma once
 
@@ -12,13 +12,15 @@
 
 class LeaseCli {
 public:
+    // Adds the subcommands to `app`; both must outlive this object.
     LeaseCli(CLI::App& app, std::string& settings_file);
     bool parsed() const { return keeper_->parsed() || lease_->parsed(); }
+    // Runs the parsed subcommand and returns the exit code. Throws SettingsError.
     int run();
 
-    // All words of the command line but the first, last first, as CLI11 takes them: those behind "--" are a
-    // command's own and marked, since CLI11 would read `[a, b]` among them as a list. run() takes the mark
-    // off.
+    // The arguments without the program's name in reverse order, as CLI11 expects them. Arguments after "--"
+    // belong to a command to be run; they get a prefix, because CLI11 would parse `[a, b]` among them as a
+    // list. run() removes the prefix.
     static std::vector<std::string> words(int argc, const char* const* argv);
 
 private:
@@ -30,7 +32,7 @@
     int list(bool exactly_one);
     int revoke();
     int note();
-    int run_under_right();
+    int run_with_lease();
     void need_keepers() const;
 
     std::string& file_;
--- a/src/lease_io/ask.cpp
+++ b/src/lease_io/ask.cpp
@@ -26,8 +26,8 @@
                                                    taken = std::string(answer);
                                                    io.stop();
                                                }));
-    // To all at once: whoever leads answers for the fleet, the others say that they don't; and again, as
-    // another may lead by then.
+    // The request goes to all replicas at once, as only the leader serves it, and is repeated because
+    // leadership may change meanwhile.
     asio::steady_timer again(io), end(io);
     const std::function<void()> round = [&] {
         for (const auto& line : lines) line->send(kind, payload);
--- a/src/lease_io/ask.hpp
+++ b/src/lease_io/ask.hpp
@@ -1,4 +1,4 @@
-// One question of a person, put to the keepers in turn until one answers for the fleet. Entry: ask().
+// Sends one request of a command-line tool to all replicas and waits for an accepted response. Entry: ask().
 #pragma once
 
 #include <optional>
@@ -10,8 +10,9 @@
 
 namespace cobaltshift::lease {
 
-// The payload of the first answer that `take` takes, within `within`; none: nobody gave one. `take` is handed
-// each answer and the number of the keeper that gave it.
+// Returns the payload of the first response for which `take` returns true, or nothing if there was none
+// within `within`. `take` gets the replica's number, the frame's kind and the payload. Blocks; runs an event
+// loop of its own. Throws plan::SecretError.
 std::optional<std::string> ask(const KeepersSettings& settings, FrameKind kind, const std::string& payload,
                                std::chrono::milliseconds within,
                                const std::function<bool(std::uint32_t, FrameKind, std::string_view)>& take);
--- a/src/lease_io/channel.cpp
+++ b/src/lease_io/channel.cpp
@@ -13,7 +13,7 @@
 constexpr char kFormat = 1;
 constexpr std::size_t kNonce = 16, kHello = 3 + 1 + 1 + kNonce, kCode = 64, kFrameHead = 4;
 
-std::string drawn() {
+std::string random_nonce() {
     std::string bytes(kNonce, '\0');
     randombytes_buf(bytes.data(), bytes.size());
     return bytes;
@@ -28,7 +28,7 @@
       role_(role),
       largest_(largest),
       timer_(socket_.get_executor()),
-      nonce_(drawn()),
+      nonce_(random_nonce()),
       chunk_(16 * 1024),
       heard_(std::chrono::steady_clock::now()) {}
 
@@ -49,7 +49,7 @@
     hello += static_cast<char>(role_);
     hello += nonce_;
     queued_ += hello.size();
-    out_.push_front(std::move(hello));  // before whatever has been sent already
+    out_.push_front(std::move(hello));  // ahead of frames that were queued by send()
     proven_ = dialler_;
     started_ = true;
     write();
@@ -65,7 +65,7 @@
 
 bool Channel::send(FrameKind kind, std::string_view payload, std::size_t most_queued) {
     if (!open_ || queued_ + payload.size() > most_queued) return false;
-    // Without the other side's hello there is no code yet: kind and payload wait as they are.
+    // The code depends on the other side's nonce, which may be unknown still, so write() adds it.
     std::string frame(1, static_cast<char>(kind));
     frame += payload;
     queued_ += frame.size();
@@ -76,7 +76,7 @@
 
 void Channel::write() {
     if (writing_ || !started_ || !open_ || out_.empty()) return;
-    // The hello goes by itself, at the front until it has been written; frames wait for theirs.
+    // The hello is written first and without a code; frames wait until the other side's hello has arrived.
     const bool hello = !hello_written_;
     std::string& bytes = out_.front();
     if (!hello) {
@@ -114,7 +114,7 @@
     });
 }
 
-// False: closed.
+// False: the channel has been closed.
 bool Channel::take_hello() {
     const auto handlers = handlers_;
     const std::size_t had = std::min(in_.size(), kMagic.size());
@@ -133,7 +133,7 @@
     in_.erase(0, kHello);
     hello_ = true;
     if (dialler_) {
-        // Proof goes before all that waits.
+        // The proof precedes all queued frames.
         out_.insert(out_.begin() + (hello_written_ ? 0 : 1),
                     std::string(1, static_cast<char>(FrameKind::proof)));
         ++queued_;
@@ -179,7 +179,8 @@
             handlers->frame(kind, payload);
     }
     if (open_) in_.erase(0, at);
-    if (in_.empty() && in_.capacity() > 1024 * 1024) std::string().swap(in_);  // after a rare large one
+    if (in_.empty() && in_.capacity() > 1024 * 1024)
+        std::string().swap(in_);  // free the buffer of a rare large frame
     return open_;
 }
 
--- a/src/lease_io/channel.hpp
+++ b/src/lease_io/channel.hpp
@@ -1,15 +1,16 @@
-// One TCP connection between keepers, or of a client with a keeper: frames of bounded size, each with a code
-// over it where there is a secret. Entry type of the wire: Channel; Line (line.hpp) keeps one dialled.
+// One TCP connection between two replicas or between a client and a replica. It carries frames of bounded
+// size, each with a message authentication code if a secret is configured. Entry type: Channel; line.hpp
+// keeps one connected.
 //
-//   hello   both, at once: "CSL", format, role of the dialler, 16 drawn bytes
+//   hello   sent by both sides on connecting: "CSL", format, role of the connecting side, nonce of 16 bytes
 //   frame   length of the rest (4 bytes, little-endian), kind, payload, code (64 hex digits, with a secret)
 //
-// The code (HMAC-SHA-256) covers both sides' drawn bytes, the direction, kind and payload: what was recorded
-// on one connection is worth nothing on another. Within one connection frames may be lost, doubled or
-// overtaken by whoever stands between, as on a datagram's way: what is said on top of it bears that
-// (docs/design/agree.md). The dialler's first frame is `proof`: until it has come and is right, no larger
-// frame is taken and nothing is handed on. The dialler asks for a sign of life each second; who hears nothing
-// for kSilence closes.
+// The code (HMAC-SHA-256) covers both sides' nonces, the direction, the kind and the payload, so that frames
+// recorded on one connection can't be replayed on another. Within a connection an attacker in between can
+// still drop, duplicate or reorder frames, as with datagrams; the protocols on top tolerate that
+// (docs/design/agree.md). The connecting side's first frame is `proof`: until a valid one has arrived,
+// larger frames are refused and nothing is passed to the handlers. The connecting side sends a ping every
+// second; either side closes the connection after receiving nothing for kSilence.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -31,39 +32,41 @@
 
 enum class FrameKind : std::uint8_t {
     proof = 1,  // empty
-    ping,       // empty, or what is to be sent back
+    ping,       // the payload, which may be empty, is echoed
     pong,
-    message,   // raft::encode(Message); between keepers only
+    message,   // raft::encode(Message); between replicas only
     question,  // lease::encode(Question)
     answer,    // lease::encode(Answer)
-    order,     // an operator's, JSON; answered by `report`
+    order,     // operator's command, JSON; answered by `report`
     report,    // JSON
 };
 
 enum class Role : std::uint8_t { keeper = 1, client = 2 };
 
+// Not thread-safe: all calls are made on the socket's executor.
 class Channel : public std::enable_shared_from_this<Channel> {
 public:
     static constexpr std::chrono::milliseconds kProofWithin{5000}, kPingEvery{1000}, kSilence{5000};
 
     struct Handlers {
-        std::function<void()> up;  // hello and, if dialled to us, proof are right
+        std::function<void()> up;  // the hello and, on the accepting side, the proof are valid
         std::function<void(FrameKind, std::string_view)> frame;
-        std::function<void(const std::string& why)> closed;  // once, never from within send()
+        std::function<void(const std::string& why)> closed;  // called once, never from within send()
     };
-    // Both: call start() after the handlers are set. `largest`: payload taken from the other side.
+    // Call start() on the result. `secret` must outlive the channel. `largest`: limit of a received payload,
+    // bytes.
     static std::shared_ptr<Channel> accepted(tcp::socket socket, const Secret& secret);
     static std::shared_ptr<Channel> dialled(tcp::socket socket, const Secret& secret, Role role,
                                             std::size_t largest);
     void start(Handlers handlers);
 
-    // Of the dialler; known once up.
+    // Role of the connecting side; known once up() is true.
     Role role() const { return role_; }
     bool up() const { return up_; }
-    // May be called before up(): it waits. False: not taken, as more than `most_queued` bytes wait (the other
-    // side is slow or silent) or it is closed.
+    // Queues a frame; before up() it waits. False: dropped, because the channel is closed or the queue would
+    // exceed `most_queued` bytes (the other side is slow or silent).
     bool send(FrameKind kind, std::string_view payload, std::size_t most_queued);
-    void close();  // handlers are called no more, `closed` neither
+    void close();  // no handler is called afterwards, not even `closed`
 
 private:
     Channel(tcp::socket socket, const Secret& secret, bool dialler, Role role, std::size_t largest);
@@ -84,7 +87,7 @@
     asio::steady_timer timer_;
     std::string nonce_, theirs_, in_;
     std::vector<char> chunk_;
-    std::deque<std::string> out_;  // the first is being written
+    std::deque<std::string> out_;  // the first one is being written
     std::size_t queued_ = 0;
     bool started_ = false, hello_ = false, proven_ = false, up_ = false, open_ = true, writing_ = false,
          hello_written_ = false;
--- a/src/lease_io/clock.hpp
+++ b/src/lease_io/clock.hpp
@@ -1,6 +1,6 @@
-// The clock that rights are counted on: of this machine alone, since it started, with the time in which it
-// was suspended. std::chrono::steady_clock leaves that time out on Linux: whoever slept through a right's end
-// would take it for held.
+// The monotonic clock that leases are timed with: milliseconds from this machine's boot, including the time
+// for which it was suspended. std::chrono::steady_clock excludes that time on Linux, so a machine that was
+// suspended past a lease's end would still consider it held.
 #pragma once
 
 #include <time.h>
--- a/src/lease_io/draw.hpp
+++ b/src/lease_io/draw.hpp
@@ -1,4 +1,5 @@
-// A number that no other run of any process draws: ids of holders and lives, seeds of pauses. Never 0.
+// Random 64-bit number from the system's generator, used for ids of holders and replica incarnations and for
+// seeds. Practically unique; never 0. libsodium must be initialised.
 #pragma once
 
 #include <sodium.h>
--- a/src/lease_io/keeper_node.cpp
+++ b/src/lease_io/keeper_node.cpp
@@ -35,7 +35,7 @@
 void found(const KeeperSettings& own, std::size_t keepers) {
     store::Folder folder(own.folder);
     if (folder.found() != store::Folder::Found::nothing)
-        throw KeeperError("folder " + own.folder + " holds a keeper already: nothing is founded in it");
+        throw KeeperError("folder " + own.folder + " already holds the data of a keeper");
     folder.begin(raft::bootstrap(fleet_number(own.fleet), own.office.agree.number,
                                  static_cast<std::uint32_t>(keepers)));
 }
@@ -54,7 +54,7 @@
     boot();
     for (std::uint32_t n = 0; n < all_.keepers.size(); ++n) {
         if (n == own_.office.agree.number) continue;
-        // Keepers say nothing on a connection that they took: each dials the others for what it has to say.
+        // Replicas send nothing over accepted connections: each connects to the others to send its messages.
         peers_[n] = std::make_unique<Line>(io_, all_.keepers[n], secret_, Role::keeper, 1024, kPeerQueue,
                                            drawn(), [](FrameKind, std::string_view) {});
         peers_[n]->keep();
@@ -97,31 +97,32 @@
     if (told_) asio::post(io_, told_);
 }
 
-// What is no member's any more, or can't be vouched for, is set aside, and a new life begins: it asks the
-// others to be taken in, and has no vote before.
+// Sets unusable stored data aside and starts a new incarnation with a random id. It asks the other replicas
+// to add it as a member and has no vote until then.
 void KeeperNode::begin_anew(const std::string& why) {
     ++counts_.lives;
     log_line("keeper.new_life",
-             "keeper " + std::to_string(own_.office.agree.number) + " begins a new life: " + why,
+             "keeper " + std::to_string(own_.office.agree.number) + " starts a new incarnation: " + why,
              {{"keeper", std::uint64_t{own_.office.agree.number}}, {"why", why}});
     folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
 }
 
 void KeeperNode::boot() {
     office_.reset();
-    folder_.reset();  // before it is opened anew
+    folder_.reset();  // releases the lock before reopening
     folder_ = std::make_unique<store::Folder>(own_.folder);
     raft::Stored stored;
     if (folder_->found() == store::Folder::Found::whole) {
         stored = folder_->take_stored();
         if (stored.fleet != office_settings_.agree.fleet)
-            throw KeeperError("folder " + own_.folder + " is of another fleet than '" + own_.fleet + "'");
+            throw KeeperError("folder " + own_.folder + " belongs to another fleet than '" + own_.fleet +
+                              "'");
         if (stored.id < raft::kFirstDrawn && stored.id != own_.office.agree.number + 1)
             throw KeeperError("folder " + own_.folder + " is keeper " + std::to_string(stored.id - 1) +
                               "'s, not " + std::to_string(own_.office.agree.number) + "'s");
     } else {
         begin_anew(folder_->found() == store::Folder::Found::spoilt
-                       ? "its folder is spoilt, " + folder_->why()
+                       ? "its folder is corrupt, " + folder_->why()
                        : "its folder is empty");
         stored = folder_->take_stored();
     }
@@ -134,7 +135,7 @@
 void KeeperNode::accept() {
     acceptor_.async_accept([this, alive = alive_](error_code ec, tcp::socket socket) {
         if (!*alive || stopped_) return;
-        if (ec) {  // no descriptor, most often
+        if (ec) {  // usually out of file descriptors
             accept_timer_.expires_after(std::chrono::milliseconds(50));
             accept_timer_.async_wait([this](error_code wait) {
                 if (!wait && !stopped_) accept();
@@ -178,7 +179,7 @@
     } else if (kind == FrameKind::order && !keeper) {
         order(session, payload);
     } else {
-        ++counts_.refused_messages;  // of a later build, or nobody's
+        ++counts_.refused_messages;  // not allowed in this role, or unknown
     }
 }
 
@@ -290,10 +291,10 @@
     if (at != sessions_.end()) at->second.channel->send(FrameKind::report, report, kClientQueue);
 }
 
-// ---- The order of what is done ---------------------------------------------------------------------------
+// ---- Processing of output --------------------------------------------------------------------------------
 
-// What came together is kept together: the pump waits until all that has been read is taken in, so that one
-// sync serves many questions.
+// Runs `what` and posts one call of pump(). All events that are ready by then are handled before it, so that
+// one sync serves many requests.
 void KeeperNode::event(const std::function<void()>& what) {
     if (stopped_ || !office_) return;
     guarded(what);
@@ -308,7 +309,7 @@
 void KeeperNode::guarded(const std::function<void()>& what) {
     try {
         what();
-    } catch (const std::exception& fault) {  // raft::Broken, or a disk that refuses
+    } catch (const std::exception& fault) {  // a violated protocol invariant or a disk error
         end(std::string("keeper stops: ") + fault.what());
     }
 }
@@ -321,7 +322,7 @@
             try {
                 folder_->keep(output.ready);
             } catch (const store::FolderFull& fault) {
-                log_line("keeper.restarts", std::string("keeper starts again: ") + fault.what(),
+                log_line("keeper.restarts", std::string("keeper restarts from its folder: ") + fault.what(),
                          {{"keeper", std::uint64_t{own_.office.agree.number}},
                           {"why", std::string(fault.what())}});
                 ++counts_.restarts;
@@ -344,7 +345,7 @@
             folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
             ++counts_.lives;
             log_line("keeper.new_life", "keeper " + std::to_string(own_.office.agree.number) +
-                                            " is no member any more; it asks to be taken in anew");
+                                            " has been removed from the members and asks to join again");
             boot();
             continue;
         }
@@ -365,7 +366,7 @@
     if (const bool leads = office_->keeper().leads(); leads != std::exchange(led_, leads))
         log_line("keeper.leads",
                  "keeper " + std::to_string(own_.office.agree.number) +
-                     (leads ? " leads in term " : " leads no more; term ") +
+                     (leads ? " leads in term " : " stopped leading; term ") +
                      std::to_string(office_->keeper().term()),
                  {{"keeper", std::uint64_t{own_.office.agree.number}},
                   {"leads", leads},
--- a/src/lease_io/keeper_node.hpp
+++ b/src/lease_io/keeper_node.hpp
@@ -1,10 +1,11 @@
-// A keeper's process: the Office on sockets, with its folder. Every event goes through pump(), which carries
-// out in the Office's order: keep and sync, stored(), send, answer. The disk is waited for: a keeper that
-// hasn't synced has nothing to say anyway. Entry type: KeeperNode.
+// Process of one lease replica ("keeper"): the server core of lease/office.hpp with sockets and a data
+// directory. Entry type: KeeperNode. After every event pump() processes the core's output in the required
+// order: persist and sync, stored(), send, answer. Disk writes block the event loop, as nothing may be sent
+// before the sync anyway.
 //
-// The folder refuses for want of room: nothing has been said; the keeper lets go of it and starts again from
-// what it holds. Any other refusal ends it (FolderError from the loop): what a disk says after a sync that
-// failed is not to be believed.
+// If the disk is full, nothing of the output has been sent yet; the replica closes its data directory and
+// restarts from what is stored. Any other disk error stops the replica, because data read after a failed
+// sync can't be trusted.
 #pragma once
 
 #include <map>
@@ -19,28 +20,33 @@
 
 namespace cobaltshift::lease {
 
-// The folder is not one that this keeper can begin with: not founded, of another fleet, of another keeper.
+// The data directory can't be used: it is in use already, or belongs to another cluster or another replica.
 struct KeeperError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// Cluster id: a hash of the cluster's name.
 std::uint64_t fleet_number(const std::string& name);
 
-// Makes an empty folder a founder's; throws KeeperError if it holds something.
+// Initialises an empty data directory for one of the first `keepers` members; throws KeeperError if it isn't
+// empty.
 void found(const KeeperSettings& own, std::size_t keepers);
 
+// Not thread-safe: all calls are made on the thread that runs `io`.
 class KeeperNode {
 public:
+    // Throws KeeperError, store::FolderError and plan::SecretError.
     KeeperNode(asio::io_context& io, KeeperSettings own, KeepersSettings all);
     ~KeeperNode();
 
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
     bool leads() const { return office_ && office_->keeper().leads(); }
-    bool votes() const;  // is a member that does
-    void stop();         // lets go of its connections and its folder; at a planned end
-    // Where not empty, the loop should end: this keeper can't go on.
+    bool votes() const;  // this replica is a voting member
+    void stop();         // closes all connections and the data directory
+    // Not empty after a fatal error: its description. The caller should stop the event loop.
     const std::string& over() const { return over_; }
     void metrics(MetricsText& text) const;
+    // `told` is posted once after a fatal error.
     void when_over(std::function<void()> told) { told_ = std::move(told); }
 
     struct Counts {
--- a/src/lease_io/line.cpp
+++ b/src/lease_io/line.cpp
@@ -3,8 +3,8 @@
 namespace cobaltshift::lease {
 
 namespace {
-constexpr double kFirstPause = 20, kLongestPause = 1000;  // milliseconds
-constexpr std::chrono::milliseconds kDialWithin{3000};
+constexpr double kInitialBackoffMs = 20, kMaxBackoffMs = 1000;
+constexpr std::chrono::milliseconds kConnectTimeout{3000};
 }  // namespace
 
 Line::Line(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role, std::size_t largest,
@@ -40,7 +40,7 @@
         if (!channel_->send(kind, payload, most_queued_)) ++counts_.lost;
         return;
     }
-    // The newest alone is worth keeping: older ones have been asked anew.
+    // Only the newest frame is kept, as callers repeat older requests themselves.
     if (!first_.empty()) ++counts_.lost;
     first_kind_ = kind;
     first_ = payload;
@@ -52,7 +52,7 @@
     ++counts_.dialled;
     dialling_ = std::make_shared<tcp::socket>(io_);
     const auto socket = dialling_;
-    timer_.expires_after(kDialWithin);
+    timer_.expires_after(kConnectTimeout);
     timer_.async_wait([socket](error_code ec) {
         error_code ignored;
         if (!ec) socket->close(ignored);
@@ -65,7 +65,7 @@
         channel_ = Channel::dialled(std::move(*socket), secret_, role_, largest_);
         if (!first_.empty()) channel_->send(first_kind_, first_, most_queued_);
         first_.clear();
-        // The handlers end with the channel, which ends with this.
+        // Capturing `this` is safe: drop() closes the channel, after which no handler is called.
         channel_->start({[this] { pause_ = 0; }, frame_,
                          [this](const std::string&) {
                              channel_.reset();
@@ -76,7 +76,7 @@
 
 void Line::broken() {
     ++counts_.broken;
-    pause_ = std::min(kLongestPause, std::max(kFirstPause, 2 * pause_));
+    pause_ = std::min(kMaxBackoffMs, std::max(kInitialBackoffMs, 2 * pause_));
     waiting_ = true;
     timer_.expires_after(
         std::chrono::microseconds(static_cast<long>(1000 * pause_ * (0.5 + lots_.unit() / 2))));
--- a/src/lease_io/line.hpp
+++ b/src/lease_io/line.hpp
@@ -1,6 +1,6 @@
-// A connection kept to one keeper: dialled when first needed, and anew after it has broken, with a growing,
-// drawn pause. What is sent while it is down waits within a small bound, or is lost, as on any network. Entry
-// type: Line.
+// Connection to one replica that reconnects by itself: opened on the first send and again after a failure,
+// with a random, exponentially growing back-off. While it is down only the newest frame is kept; others are
+// lost, as on any network. Entry type: Line. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -13,24 +13,26 @@
 
 namespace cobaltshift::lease {
 
-// Payload that a client takes from a keeper: what is listed, at the most.
+// Limit of a payload that a client accepts from a replica, bytes; the largest one is a list of tasks.
 constexpr std::size_t kLargestAnswer = 1024 * 1024;
 
 class Line {
 public:
     using Frame = std::function<void(FrameKind, std::string_view)>;
 
-    // `largest`: payload taken from the keeper; `most_queued`: bytes that may wait to be sent. `keep`: dial
-    // at once and always, else only while something has been sent. All must outlive the Line.
+    // `largest`: limit of a received payload, bytes; `most_queued`: limit of the send queue, bytes; `draw`:
+    // seed of the random number generator; `frame` is called with each received frame. `io` and `secret`
+    // must outlive the object.
     Line(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role, std::size_t largest,
          std::size_t most_queued, std::uint64_t draw, Frame frame);
     ~Line();
     Line(const Line&) = delete;
     Line& operator=(const Line&) = delete;
 
+    // Connects now and reconnects even while there is nothing to send.
     void keep() { keep_ = true, dial(); }
     void send(FrameKind kind, std::string_view payload);
-    // Lets the connection go; what waits is lost.
+    // Closes the connection; queued frames are lost.
     void drop();
     bool up() const { return channel_ && channel_->up(); }
     tcp::endpoint to() const { return to_; }
@@ -56,7 +58,7 @@
     std::shared_ptr<Channel> channel_;
     double pause_ = 0;
     bool keep_ = false, waiting_ = false;
-    std::string first_;  // sent while it is being dialled: the newest frame's payload
+    std::string first_;  // payload of the newest frame sent while disconnected
     FrameKind first_kind_ = FrameKind::ping;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     Counts counts_;
--- a/src/lease_io/rights.cpp
+++ b/src/lease_io/rights.cpp
@@ -67,7 +67,7 @@
     holder_.tick(own_clock());
     for (const Holder::Ask& ask : holder_.take())
         if (ask.keeper < lines_.size()) lines_[ask.keeper]->send(FrameKind::question, encode(ask.question));
-    // Woken at the end of a right too: whoever acts on it is to hear at once.
+    // Also wake at the end of each lease, so that the callback runs at once.
     const Millis now = own_clock();
     Millis due = holder_.due();
     for (const std::string& task : tasks_)
@@ -81,7 +81,7 @@
             if (!ec) turn();
         });
     }
-    // Never from within a call of who is told.
+    // Posted, so that the callback never runs from within a call to this object.
     if (!told_ || std::exchange(posted_, true)) return;
     asio::post(io_, [this, alive = alive_] {
         if (!*alive) return;
--- a/src/lease_io/rights.hpp
+++ b/src/lease_io/rights.hpp
@@ -1,6 +1,6 @@
-// The rights of this process, asked of keepers over sockets: lease::Holder with its lines and its timer.
-// Whoever is to act asks right() just before, and passes the fence on to what it acts upon. Entry type:
-// Rights.
+// Client of the lease service: lease::Holder with its connections to the replicas and its timer. Code that
+// acts on a task calls right() immediately before each action and passes the fencing token to the resource
+// that it acts on. Entry type: Rights. Not thread-safe: all calls are made on the thread that runs `io`.
 #pragma once
 
 #include <functional>
@@ -19,23 +19,24 @@
 
 class Rights {
 public:
-    // `name`: of this process, for people. `poll`: who waits in a queue asks again so often; 0: as usual.
-    // Throws plan::SecretError.
+    // `name`: display name of this process. `poll`: interval of requests while waiting in a queue, ms; 0:
+    // default. Throws plan::SecretError.
     Rights(asio::io_context& io, const KeepersSettings& settings, const std::string& name, Millis poll = 0);
     ~Rights();
 
     void want(const std::string& task, Millis length, bool wait);
-    // Not acted upon from now on. `next`: the name of who waits and is to have it.
+    // See lease::Holder for these.
     void give_up(const std::string& task, const std::string& next = "");
-    // Now, by this machine's own clock (own_clock()).
+    // The lease, if it may be acted upon now, by the clock of lease_io/clock.hpp.
     std::optional<Holder::Right> right(const std::string& task) const;
     Holder::State state(const std::string& task) const { return holder_.state(task); }
     const Answer* last(const std::string& task) const { return holder_.last(task); }
-    // As lease::Holder has them.
+    // See lease::Holder for these.
     bool leave_note(const std::string& task, const std::string& text);
     Holder::Note note_state(const std::string& task) const { return holder_.note_state(task); }
     std::string note(const std::string& task) const { return holder_.note(task); }
-    // Called after anything may have changed: an answer came, a right ended, a question went unanswered.
+    // `told` is called after anything may have changed: a response arrived, a lease ended, a request timed
+    // out. It runs from the event loop, never from within a call to this object.
     void on_turn(std::function<void()> told) { told_ = std::move(told); }
     const Holder::Counts& counts() const { return holder_.counts(); }
 
--- a/src/lease_io/run_command.cpp
+++ b/src/lease_io/run_command.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-constexpr Millis kGuardLooks = 50, kReleaseWithin = 1000;
+constexpr Millis kGuardPollInterval = 50, kReleaseTimeout = 1000;
 
-// The right's end, shared with the guard.
+// End of the lease in memory shared with the guard process.
 class SharedEnd {
 public:
     SharedEnd() {
         void* page = ::mmap(nullptr, sizeof(std::atomic<Millis>), PROT_READ | PROT_WRITE,
                             MAP_SHARED | MAP_ANONYMOUS, -1, 0);
-        if (page == MAP_FAILED) throw std::runtime_error("no page to share with the guard");
+        if (page == MAP_FAILED) throw std::runtime_error("can't map memory to share with the guard process");
         end_ = new (page) std::atomic<Millis>(0);
     }
     ~SharedEnd() { ::munmap(end_, sizeof *end_); }
@@ -38,16 +38,17 @@
     std::atomic<Millis>* end_;
 };
 
-// In a process of its own: kills the command's group at the right's end, or once its parent is gone.
+// Main loop of the guard process: kills the command's process group at the lease's end or once its parent is
+// gone.
 [[noreturn]] void guard(pid_t parent, pid_t group, const std::atomic<Millis>& end) {
-    ::setpgid(0, 0);  // a terminal's ^C, and a stop of the group before, are not for it
+    ::setpgid(0, 0);  // signals of the terminal or to the parent's group must not reach it
     for (;;) {
         const Millis left = end.load() - own_clock();
         if (left <= 0 || ::getppid() != parent) {
             ::kill(-group, SIGKILL);
             ::_exit(0);
         }
-        const auto micros = static_cast<useconds_t>(1000 * std::min(left, kGuardLooks)) + 1;
+        const auto micros = static_cast<useconds_t>(1000 * std::min(left, kGuardPollInterval)) + 1;
         ::usleep(micros);
     }
 }
@@ -62,7 +63,7 @@
           rights_(io_, settings, command_.name) {}
 
     int run() {
-        rights_.on_turn([this] { turned(); });
+        rights_.on_turn([this] { on_lease_change(); });
         wait_signals();
         wait_children();
         if (command_.wait_at_most > 0) {
@@ -79,7 +80,7 @@
     }
 
 private:
-    void turned() {
+    void on_lease_change() {
         if (over_) {
             if (rights_.state(command_.task) == Holder::State::idle) io_.stop();
             return;
@@ -91,32 +92,32 @@
             if (!right && last && !command_.wait && last->kind == Answer::Kind::refused)
                 return finish(RunCommand::kNotHeld, "held by " + last->by);
             if (!right && last && last->kind == Answer::Kind::full)
-                return finish(RunCommand::kNotHeld, "keepers have no room for another task");
+                return finish(RunCommand::kNotHeld, "the limit of tasks or waiters is reached");
             return;
         }
         if (right && right->fence == fence_ && !ending_) {
             end_.at().store(right->until);
-            return set_end();
+            return restart_end_timer();
         }
-        // Lost or revoked: what was granted last holds up to its end, and no keeper gives it to another
-        // before.
-        if (!ending_) end_in_time("the right is not renewed");
+        // Lost or revoked. The last grant remains valid up to its end, and the task isn't granted to another
+        // holder before.
+        if (!ending_) terminate_command("the lease is not renewed");
     }
 
-    void set_end() {
+    void restart_end_timer() {
         timer_.expires_after(std::chrono::microseconds(
             static_cast<long>(1000 * std::max(0.0, end_.at().load() - command_.grace - own_clock())) + 1));
         timer_.async_wait([this](error_code ec) {
-            if (!ec && child_ > 0 && !ending_) end_in_time("the right ends");
+            if (!ec && child_ > 0 && !ending_) terminate_command("the lease ends");
         });
     }
 
-    void end_in_time(const std::string& why) {
+    void terminate_command(const std::string& why) {
         ending_ = true;
         log_line("lease.ends", "lease " + command_.task + ": " + why + "; the command is ended",
                  {{"task", command_.task}, {"fence", fence_}, {"why", why}});
         ::kill(-child_, SIGTERM);
-        ::kill(-child_, SIGCONT);  // a stopped one could not hear it
+        ::kill(-child_, SIGCONT);  // a stopped process would not handle SIGTERM
         const Millis left = std::min(end_.at().load() - own_clock(), command_.grace);
         timer_.expires_after(std::chrono::microseconds(static_cast<long>(1000 * std::max(0.0, left)) + 1));
         timer_.async_wait([this](error_code ec) {
@@ -164,7 +165,7 @@
             guard(self, child_, end_.at());
         }
         io_.notify_fork(asio::io_context::fork_parent);
-        set_end();
+        restart_end_timer();
     }
 
     void end_guard() {
@@ -182,7 +183,7 @@
                 const pid_t group = child_;
                 const bool in_time = own_clock() < end_.at().load();
                 child_ = 0;
-                ::kill(-group, SIGKILL);  // what it left behind may not act on
+                ::kill(-group, SIGKILL);  // kills what the command left running in its group
                 end_guard();
                 const int own = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
                 return finish(ending_ || !in_time ? RunCommand::kRightEnded : own, "");
@@ -202,7 +203,7 @@
         });
     }
 
-    // The right is given back, so that the next needn't wait for its end; for a short while at most.
+    // Releases the lease so that the next holder needn't wait for its end; gives up after kReleaseTimeout.
     void finish(int code, const std::string& why) {
         over_ = true;
         code_ = code;
@@ -211,7 +212,7 @@
                      {{"task", command_.task}, {"why", why}});
         rights_.give_up(command_.task, command_.next);
         if (rights_.state(command_.task) == Holder::State::idle) return io_.stop();
-        timer_.expires_after(std::chrono::milliseconds(static_cast<long>(kReleaseWithin)));
+        timer_.expires_after(std::chrono::milliseconds(static_cast<long>(kReleaseTimeout)));
         timer_.async_wait([this](error_code ec) {
             if (!ec) io_.stop();
         });
--- a/src/lease_io/settings.hpp
+++ b/src/lease_io/settings.hpp
@@ -1,4 +1,4 @@
-// Settings of keepers and of those who ask them; docs/operate/lease.md.
+// Settings of the lease replicas ("keepers") and their clients; see docs/operate/lease.md.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,21 +9,21 @@
 
 namespace cobaltshift::lease {
 
-// [keepers]: the same at keepers and at all who ask them.
+// Section [keepers]: the same on all replicas and clients.
 struct KeepersSettings {
-    std::vector<boost::asio::ip::tcp::endpoint> keepers;  // their order gives their numbers
+    std::vector<boost::asio::ip::tcp::endpoint> keepers;  // in the order of their numbers
     std::string secret_file;
-    Millis margin = 500;  // a right ends so long before its length is over
+    Millis margin = 500;  // holders stop using a lease this long before its end
     bool operator==(const KeepersSettings&) const = default;
 };
 
-// [keeper]: of one keeper's process.
+// Section [keeper]: of one replica's process.
 struct KeeperSettings {
     boost::asio::ip::tcp::endpoint listen;
-    std::string fleet;   // its name, the same at all keepers: a keeper of another fleet is not heard
-    std::string folder;  // what it keeps; its own alone
-    std::size_t connections = 4096;
-    OfficeSettings office;  // agree.fleet and agree.keepers follow from the above
+    std::string fleet;               // cluster name; messages from replicas of another cluster are ignored
+    std::string folder;              // data directory, used by this replica only
+    std::size_t connections = 4096;  // limit of accepted connections
+    OfficeSettings office;           // agree.fleet and agree.keepers follow from the above
 };
 
 }  // namespace cobaltshift::lease
--- a/tests/lease_io_test.cpp
+++ b/tests/lease_io_test.cpp
@@ -1,4 +1,4 @@
-// Keepers' folders on a real disk, and keepers and rights over loopback sockets.
+// Tests of the replicas' data directories on a real disk and of replicas and clients over loopback sockets.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 #include <sys/resource.h>
@@ -21,12 +21,12 @@
 using tcp = boost::asio::ip::tcp;
 using boost::system::error_code;
 
-struct Place {
-    Place() {
+struct TempDirectory {
+    TempDirectory() {
         std::string pattern = (std::filesystem::temp_directory_path() / "cobaltshift-test-XXXXXX").string();
         path = ::mkdtemp(pattern.data());
     }
-    ~Place() {
+    ~TempDirectory() {
         std::error_code ignored;
         std::filesystem::remove_all(path, ignored);
     }
@@ -46,7 +46,7 @@
     return ready;
 }
 
-void sql(const Place& place, const std::string& text) {
+void sql(const TempDirectory& place, const std::string& text) {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open((place.path + "/keeper.db").c_str(), &db), SQLITE_OK);
     char* why = nullptr;
@@ -54,8 +54,8 @@
     sqlite3_close(db);
 }
 
-// A folder with a vote, three entries and the fourth replaced.
-void fill(const Place& place) {
+// Writes a data directory with a vote and four entries, the last of which has been replaced.
+void fill(const TempDirectory& place) {
     Folder folder(place.path);
     folder.begin(raft::bootstrap(7, 1, 3));
     EXPECT_EQ(folder.start(), 1U);
@@ -66,8 +66,8 @@
     folder.keep(entries_from(4, {entry(2, "e")}));
 }
 
-TEST(Folder, HoldsWhatWasKeptOverRunsAndLives) {
-    Place place;
+TEST(Folder, KeepsStateOverRestartsAndIncarnations) {
+    TempDirectory place;
     fill(place);
     {
         Folder folder(place.path);
@@ -85,7 +85,7 @@
         snapshot.snapshot = raft::Snapshot{3, 1, stored.snapshot.members, "book"};
         snapshot.entries = {entry(2, "e"), entry(2, "f")};
         folder.keep(snapshot);
-        folder.keep(entries_from(5, {}));  // the tail goes and nothing follows
+        folder.keep(entries_from(5, {}));  // truncates the tail
     }
     {
         Folder folder(place.path);
@@ -101,14 +101,14 @@
     EXPECT_EQ(folder.take_stored().id, raft::kFirstDrawn + 5);
 }
 
-TEST(Folder, IsHeldByOneProcess) {
-    Place place;
+TEST(Folder, IsLockedByOneProcess) {
+    TempDirectory place;
     Folder first(place.path);
     EXPECT_THROW(Folder second(place.path), store::FolderError);
     EXPECT_THROW(Folder none(place.path + "/none"), store::FolderError);
 }
 
-TEST(Folder, ASpoiltOneSaysSo) {
+TEST(Folder, CorruptDataIsReported) {
     const std::pair<const char*, const char*> table[] = {
         {"UPDATE state SET bytes = zeroblob(12) WHERE place = 3", "row 3 is not as it was written"},
         {"UPDATE state SET bytes = (SELECT bytes FROM state WHERE place = 1) WHERE place = 3", "row 3"},
@@ -119,7 +119,7 @@
         {"DELETE FROM state", "missing"},
     };
     for (const auto& [change, why] : table) {
-        Place place;
+        TempDirectory place;
         fill(place);
         sql(place, change);
         Folder folder(place.path);
@@ -127,21 +127,21 @@
         EXPECT_NE(folder.why().find(why), std::string::npos) << change << " -> " << folder.why();
     }
     {
-        Place place;
+        TempDirectory place;
         place.write("keeper.db", std::string(9000, 'x'));
         Folder folder(place.path);
         EXPECT_EQ(folder.found(), Folder::Found::spoilt);
-        folder.begin(raft::newcomer(7, raft::kFirstDrawn));  // and is usable again as another's
+        folder.begin(raft::newcomer(7, raft::kFirstDrawn));  // can be initialised again
         EXPECT_EQ(folder.start(), 1U);
     }
-    Place place;
+    TempDirectory place;
     fill(place);
     sql(place, "PRAGMA user_version = 2");
-    EXPECT_THROW(Folder folder(place.path), store::FolderError);  // a later build's: nothing is set aside
+    EXPECT_THROW(Folder folder(place.path), store::FolderError);  // of a newer version: must not be set aside
 }
 
-TEST(Folder, WhatADiskRefusesIsNotKept) {
-    Place place;
+TEST(Folder, FailedWriteLeavesNoTrace) {
+    TempDirectory place;
     fill(place);
     {
         Folder folder(place.path);
@@ -161,8 +161,8 @@
 
 // ---- Over sockets ----------------------------------------------------------------------------------------
 
-struct Keepers {
-    explicit Keepers(std::size_t count = 3) : nodes(count), places(count) {
+struct Replicas {
+    explicit Replicas(std::size_t count = 3) : nodes(count), places(count) {
         all.secret_file = secrets.write("secret", "a secret of enough bytes");
         all.margin = 50;
         for (std::size_t k = 0; k < count; ++k) {
@@ -184,7 +184,7 @@
         return s;
     }
     void start(std::size_t k) { nodes[k] = std::make_unique<lease::KeeperNode>(io, settings(k), all); }
-    // Runs the loop until `what` holds, within a guard.
+    // Runs the event loop until `what` holds; false after 20 s.
     bool until(const std::function<bool()>& what) {
         const auto guard = std::chrono::steady_clock::now() + std::chrono::seconds(20);
         while (!what()) {
@@ -203,56 +203,56 @@
     io_context io{1};
     lease::KeepersSettings all;
     std::vector<std::unique_ptr<lease::KeeperNode>> nodes;
-    std::vector<Place> places;
-    Place secrets;
+    std::vector<TempDirectory> places;
+    TempDirectory secrets;
 };
 
-TEST(KeeperNode, ARightIsGainedRenewedOverALeadersEndAndHandedOn) {
-    Keepers keepers;
-    lease::Rights first(keepers.io, keepers.all, "first"), second(keepers.io, keepers.all, "second");
+TEST(KeeperNode, LeaseIsAcquiredSurvivesALeaderChangeAndIsHandedOver) {
+    Replicas replicas;
+    lease::Rights first(replicas.io, replicas.all, "first"), second(replicas.io, replicas.all, "second");
     first.want("job", 1000, true);
-    ASSERT_TRUE(keepers.until([&] { return first.right("job").has_value(); }));
+    ASSERT_TRUE(replicas.until([&] { return first.right("job").has_value(); }));
     second.want("job", 1000, true);
-    ASSERT_TRUE(keepers.until([&] { return second.state("job") == lease::Holder::State::waiting; }));
+    ASSERT_TRUE(replicas.until([&] { return second.state("job") == lease::Holder::State::waiting; }));
     const auto fence = first.right("job")->fence;
-    // The leader goes, folder and all; the others go on, and the right is not lost.
-    const std::size_t gone = keepers.leader();
+    // The leader stops and loses its data; the others go on and the lease is kept.
+    const std::size_t gone = replicas.leader();
     ASSERT_LT(gone, 3U);
-    keepers.nodes[gone].reset();
-    std::filesystem::remove(keepers.places[gone].path + "/keeper.db");
-    std::filesystem::remove(keepers.places[gone].path + "/keeper.db-wal");
+    replicas.nodes[gone].reset();
+    std::filesystem::remove(replicas.places[gone].path + "/keeper.db");
+    std::filesystem::remove(replicas.places[gone].path + "/keeper.db-wal");
     const auto renewed = first.counts().renewed;
-    ASSERT_TRUE(keepers.until([&] { return first.counts().renewed > renewed + 1; }));
+    ASSERT_TRUE(replicas.until([&] { return first.counts().renewed > renewed + 1; }));
     EXPECT_EQ(first.right("job")->fence, fence);
     EXPECT_FALSE(second.right("job"));
-    // Back with an empty folder: taken in as another.
-    keepers.start(gone);
-    ASSERT_TRUE(keepers.until([&] { return keepers.nodes[gone]->votes(); }));
+    // Restarted with an empty directory, it joins as a new member.
+    replicas.start(gone);
+    ASSERT_TRUE(replicas.until([&] { return replicas.nodes[gone]->votes(); }));
     first.give_up("job", "second");
-    ASSERT_TRUE(keepers.until([&] { return second.right("job").has_value(); }));
+    ASSERT_TRUE(replicas.until([&] { return second.right("job").has_value(); }));
     EXPECT_GT(second.right("job")->fence, fence);
     EXPECT_FALSE(first.right("job"));
 }
 
-TEST(KeeperNode, WithoutAMajorityRightsRunOutAndFencesGrowAfterwards) {
-    Keepers keepers;
-    lease::Rights holder(keepers.io, keepers.all, "holder");
+TEST(KeeperNode, WithoutAMajorityLeasesExpireAndTokensNeverDecrease) {
+    Replicas replicas;
+    lease::Rights holder(replicas.io, replicas.all, "holder");
     holder.want("job", 500, true);
-    ASSERT_TRUE(keepers.until([&] { return holder.right("job").has_value(); }));
+    ASSERT_TRUE(replicas.until([&] { return holder.right("job").has_value(); }));
     const auto fence = holder.right("job")->fence;
-    const std::size_t one = keepers.leader(), two = (one + 1) % 3;
-    keepers.nodes[one].reset(), keepers.nodes[two].reset();
-    ASSERT_TRUE(keepers.until([&] { return holder.counts().ended > 0; }));
+    const std::size_t one = replicas.leader(), two = (one + 1) % 3;
+    replicas.nodes[one].reset(), replicas.nodes[two].reset();
+    ASSERT_TRUE(replicas.until([&] { return holder.counts().ended > 0; }));
     EXPECT_FALSE(holder.right("job"));
-    keepers.start(one), keepers.start(two);
-    ASSERT_TRUE(keepers.until([&] { return holder.right("job").has_value(); }));
+    replicas.start(one), replicas.start(two);
+    ASSERT_TRUE(replicas.until([&] { return holder.right("job").has_value(); }));
     EXPECT_GE(holder.right("job")->fence, fence);
 }
 
-// Raw bytes to a keeper; whether it closed the connection, and never before it has heard something wrong.
-bool closed_after(Keepers& keepers, const std::string& bytes) {
-    tcp::socket socket(keepers.io);
-    socket.connect(keepers.all.keepers[0]);
+// Sends raw bytes to a replica and returns whether it closes the connection.
+bool closed_after(Replicas& replicas, const std::string& bytes) {
+    tcp::socket socket(replicas.io);
+    socket.connect(replicas.all.keepers[0]);
     bool closed = false;
     std::array<char, 4096> chunk{};
     std::function<void()> read = [&] {
@@ -263,16 +263,16 @@
     };
     read();
     boost::asio::write(socket, boost::asio::buffer(bytes));
-    const bool all = keepers.until([&] { return closed; });
+    const bool all = replicas.until([&] { return closed; });
     error_code ignored;
     socket.close(ignored);
-    keepers.io.restart();
-    keepers.io.poll();
+    replicas.io.restart();
+    replicas.io.poll();
     return all;
 }
 
-TEST(KeeperNode, HostileConnectionsEndAndNothingElseDoes) {
-    Keepers keepers;
+TEST(KeeperNode, InvalidConnectionsAreClosedAndOthersKeepWorking) {
+    Replicas replicas;
     const std::string nonce(16, 'n'), keeper = std::string("CSL\x01\x01", 5) + nonce,
                                       client = std::string("CSL\x01\x02", 5) + nonce;
     const auto frame = [](std::size_t said, const std::string& bytes) {
@@ -294,21 +294,21 @@
         {"a frame of 4 GB", keeper + frame(0xffffffff, "\x04")},
         {"a recorded proof of another connection", client + frame(65, "\x01" + std::string(64, 'a'))},
     };
-    for (const auto& [what, bytes] : table) EXPECT_TRUE(closed_after(keepers, bytes)) << what;
-    lease::Rights holder(keepers.io, keepers.all, "holder");
+    for (const auto& [what, bytes] : table) EXPECT_TRUE(closed_after(replicas, bytes)) << what;
+    lease::Rights holder(replicas.io, replicas.all, "holder");
     holder.want("job", 500, true);
-    EXPECT_TRUE(keepers.until([&] { return holder.right("job").has_value(); }));
-    // Whoever has another secret gets nothing.
-    lease::KeepersSettings other = keepers.all;
-    other.secret_file = keepers.secrets.write("other", "another secret of enough bytes");
-    lease::Rights stranger(keepers.io, other, "stranger");
+    EXPECT_TRUE(replicas.until([&] { return holder.right("job").has_value(); }));
+    // A client with another secret gets no lease.
+    lease::KeepersSettings other = replicas.all;
+    other.secret_file = replicas.secrets.write("other", "another secret of enough bytes");
+    lease::Rights stranger(replicas.io, other, "stranger");
     stranger.want("other job", 500, true);
-    EXPECT_TRUE(keepers.until([&] { return stranger.counts().unanswered >= 3; }));
+    EXPECT_TRUE(replicas.until([&] { return stranger.counts().unanswered >= 3; }));
     EXPECT_FALSE(stranger.right("other job"));
 }
 
-TEST(KeeperNode, AFolderThatIsNotItsOwnIsRefused) {
-    Place place;
+TEST(KeeperNode, DirectoryOfAnotherClusterOrReplicaIsRefused) {
+    TempDirectory place;
     lease::KeepersSettings all;
     all.keepers = {{boost::asio::ip::make_address("127.0.0.4"), 0}};
     lease::KeeperSettings own;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,5 +1,5 @@
-// Agreement and rights in virtual time: each hard case by itself, brought about and looked at; hostile
-// messages; and days under every fault.
+// Tests of the Raft core and of the lease service in virtual time: single fault cases, malformed messages,
+// and simulated days with random faults.
 #include <gtest/gtest.h>
 
 #include "lease/codec.hpp"
@@ -19,10 +19,10 @@
 using raft::Message;
 using raft::RaftNode;
 
-// Keepers wired straight to one another: what they keep lasts, what they send waits in `wire` until passed
-// on.
-struct Bench {
-    explicit Bench(std::uint32_t keepers) : count(keepers) {
+// Raft nodes connected in memory: what they persist survives a restart, and messages wait in `wire` until
+// deliver_all() passes them on.
+struct TestCluster {
+    explicit TestCluster(std::uint32_t keepers) : count(keepers) {
         for (std::uint32_t n = 0; n < keepers; ++n) disks.push_back(raft::bootstrap(7, n, keepers));
         all.resize(keepers);
         for (std::uint32_t n = 0; n < keepers; ++n) start(n);
@@ -36,7 +36,7 @@
         ++disks[n].starts;
         all[n] = std::make_unique<RaftNode>(settings(n), disks[n], now, 1000 + n + 100 * disks[n].starts);
     }
-    void settle(std::uint32_t n) {
+    void process_ready(std::uint32_t n) {
         while (all[n] && all[n]->has_ready()) {
             raft::Ready ready = all[n]->take_ready();
             raft::Stored& disk = disks[n];
@@ -52,9 +52,9 @@
             for (const std::uint64_t q : ready.confirmed) confirmed.push_back(q);
         }
     }
-    bool passes(const Message& m) const { return !cut.count({m.number, m.to_number}); }
-    void flow() {  // until nothing is on its way
-        for (std::uint32_t n = 0; n < count; ++n) settle(n);
+    bool is_connected(const Message& m) const { return !cut.count({m.number, m.to_number}); }
+    void deliver_all() {  // until no message is left
+        for (std::uint32_t n = 0; n < count; ++n) process_ready(n);
         while (!wire.empty()) {
             const Message m = std::move(wire.front());
             wire.pop_front();
@@ -62,17 +62,17 @@
                 if (!all[n] || (m.kind == Message::Kind::join ? n == m.number : n != m.to_number)) continue;
                 Message to = m;
                 to.to_number = n;
-                if (!passes(to)) continue;
+                if (!is_connected(to)) continue;
                 all[n]->on_message(now, m);
-                settle(n);
+                process_ready(n);
             }
         }
     }
-    void pass(double ms) {
+    void advance(double ms) {
         for (const double end = now + ms; now < end; now += 20) {
             for (auto& keeper : all)
                 if (keeper) keeper->tick(now);
-            flow();
+            deliver_all();
         }
     }
     int leader() const {
@@ -82,7 +82,7 @@
                 found = static_cast<int>(n);
         return found;
     }
-    void cut_off(std::uint32_t n) {
+    void isolate(std::uint32_t n) {
         for (std::uint32_t other = 0; other < count; ++other) cut.insert({n, other}), cut.insert({other, n});
     }
 
@@ -96,115 +96,116 @@
     std::vector<std::uint64_t> confirmed;
 };
 
-TEST(Agreement, WhatIsProposedIsAppliedByAllInOneOrder) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader();
+TEST(Agreement, AppliesProposalsInTheSameOrderOnAllNodes) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader();
     ASSERT_GE(leader, 0);
-    for (int i = 0; i < 100; ++i) ASSERT_TRUE(bench.all[leader]->propose("entry " + std::to_string(i)));
-    bench.pass(300);
-    ASSERT_EQ(bench.applied[0].size(), 101U) << "and the leader's own first";
-    EXPECT_EQ(bench.applied[1], bench.applied[0]);
-    EXPECT_EQ(bench.applied[2], bench.applied[0]);
-    EXPECT_FALSE(bench.all[(leader + 1) % 3]->propose("from a follower"));
-    EXPECT_FALSE(bench.all[leader]->propose(std::string(raft::kMaxEntryBytes + 1, 'x')));
-}
-
-TEST(Agreement, ALeaderCutOffStepsDownAndItsTailGivesWay) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int old = bench.leader();
-    bench.cut_off(old);
-    ASSERT_TRUE(bench.all[old]->propose("never agreed"));
-    bench.pass(6000);
-    EXPECT_FALSE(bench.all[old]->leads()) << "it hears no majority";
-    const int fresh = bench.leader();
+    for (int i = 0; i < 100; ++i) ASSERT_TRUE(cluster.all[leader]->propose("entry " + std::to_string(i)));
+    cluster.advance(300);
+    ASSERT_EQ(cluster.applied[0].size(), 101U) << "and the leader's own first";
+    EXPECT_EQ(cluster.applied[1], cluster.applied[0]);
+    EXPECT_EQ(cluster.applied[2], cluster.applied[0]);
+    EXPECT_FALSE(cluster.all[(leader + 1) % 3]->propose("from a follower"));
+    EXPECT_FALSE(cluster.all[leader]->propose(std::string(raft::kMaxEntryBytes + 1, 'x')));
+}
+
+TEST(Agreement, IsolatedLeaderStepsDownAndItsUncommittedTailIsReplaced) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int old = cluster.leader();
+    cluster.isolate(old);
+    ASSERT_TRUE(cluster.all[old]->propose("never agreed"));
+    cluster.advance(6000);
+    EXPECT_FALSE(cluster.all[old]->leads()) << "it hears no majority";
+    const int fresh = cluster.leader();
     ASSERT_GE(fresh, 0);
     ASSERT_NE(fresh, old);
-    ASSERT_TRUE(bench.all[fresh]->propose("agreed"));
-    bench.pass(200);
-    bench.cut.clear();
-    const auto term = bench.all[fresh]->term();
-    bench.pass(3000);
-    EXPECT_EQ(bench.leader(), fresh) << "its return, sure of itself, unseats nobody (pre-vote)";
-    EXPECT_EQ(bench.all[fresh]->term(), term);
-    EXPECT_EQ(bench.applied[old].back(), "agreed");
-    EXPECT_EQ(bench.applied[old], bench.applied[fresh]);
-}
-
-TEST(Agreement, OneWayCutsInEveryDirectionEndWithALeader) {
+    ASSERT_TRUE(cluster.all[fresh]->propose("agreed"));
+    cluster.advance(200);
+    cluster.cut.clear();
+    const auto term = cluster.all[fresh]->term();
+    cluster.advance(3000);
+    EXPECT_EQ(cluster.leader(), fresh) << "its return, sure of itself, unseats nobody (pre-vote)";
+    EXPECT_EQ(cluster.all[fresh]->term(), term);
+    EXPECT_EQ(cluster.applied[old].back(), "agreed");
+    EXPECT_EQ(cluster.applied[old], cluster.applied[fresh]);
+}
+
+TEST(Agreement, OneWayPartitionsInAnyDirectionLeaveALeader) {
     for (std::uint32_t from = 0; from < 3; ++from)
         for (std::uint32_t to = 0; to < 3; ++to) {
             if (from == to) continue;
-            Bench bench(3);
-            bench.pass(3000);
-            const int before_it = bench.leader();
-            const auto term = bench.all[before_it]->term();
-            bench.cut.insert({from, to});
-            bench.pass(10000);
-            const int leader = bench.leader();
+            TestCluster cluster(3);
+            cluster.advance(3000);
+            const int before_it = cluster.leader();
+            const auto term = cluster.all[before_it]->term();
+            cluster.cut.insert({from, to});
+            cluster.advance(10000);
+            const int leader = cluster.leader();
             ASSERT_GE(leader, 0) << from << " -> " << to;
-            if (static_cast<int>(from) == before_it) {  // one hears it no more and stands again and again
+            if (static_cast<int>(from) ==
+                before_it) {  // one node no longer receives from it and starts elections repeatedly
                 EXPECT_EQ(leader, before_it);
-                EXPECT_EQ(bench.all[leader]->term(), term) << "the others still hear it";
+                EXPECT_EQ(cluster.all[leader]->term(), term) << "the others still hear it";
             }
-            const std::size_t before = bench.applied[leader].size();
-            ASSERT_TRUE(bench.all[leader]->propose("goes on"));
-            bench.pass(500);
-            EXPECT_GT(bench.applied[leader].size(), before) << from << " -> " << to;
-            bench.cut.clear();
-            bench.pass(2000);
+            const std::size_t before = cluster.applied[leader].size();
+            ASSERT_TRUE(cluster.all[leader]->propose("goes on"));
+            cluster.advance(500);
+            EXPECT_GT(cluster.applied[leader].size(), before) << from << " -> " << to;
+            cluster.cut.clear();
+            cluster.advance(2000);
             if (static_cast<int>(from) == before_it) {
-                EXPECT_EQ(bench.all[before_it]->term(), term) << "nor does its return unseat it";
+                EXPECT_EQ(cluster.all[before_it]->term(), term) << "nor does its return unseat it";
             }
         }
 }
 
-TEST(Agreement, WhoLostItsFolderIsSomebodyElseAndIsTakenInByTheOthers) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader(), lost = (leader + 1) % 3;
-    for (int i = 0; i < 10; ++i) bench.all[leader]->propose("x");
-    bench.pass(500);
-    const auto former = bench.all[lost]->id();
-    bench.disks[lost] = raft::newcomer(7, raft::kFirstDrawn + 99);
-    bench.applied[lost].clear();
-    bench.start(lost);
-    // Before it is a member it votes for nobody's sake: what it says counts nowhere.
-    EXPECT_FALSE(bench.all[lost]->member());
-    bench.pass(15000);
-    ASSERT_TRUE(bench.all[lost]->member());
-    EXPECT_NE(bench.all[lost]->id(), former);
-    const auto& members = bench.all[bench.leader()]->members();
+TEST(Agreement, NodeThatLostItsDataRejoinsAsANewMember) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader(), lost = (leader + 1) % 3;
+    for (int i = 0; i < 10; ++i) cluster.all[leader]->propose("x");
+    cluster.advance(500);
+    const auto former = cluster.all[lost]->id();
+    cluster.disks[lost] = raft::newcomer(7, raft::kFirstDrawn + 99);
+    cluster.applied[lost].clear();
+    cluster.start(lost);
+    // Until it is a member its votes don't count.
+    EXPECT_FALSE(cluster.all[lost]->member());
+    cluster.advance(15000);
+    ASSERT_TRUE(cluster.all[lost]->member());
+    EXPECT_NE(cluster.all[lost]->id(), former);
+    const auto& members = cluster.all[cluster.leader()]->members();
     EXPECT_EQ(members.size(), 3U);
     for (const auto& member : members) {
         EXPECT_TRUE(member.voter);
         EXPECT_NE(member.id, former);
     }
-    // Its vote counts now: the third may go, and the two agree.
-    const int third = 3 - bench.leader() - lost;
-    bench.all[third].reset();
-    bench.all[bench.leader()]->propose("two are a majority");
-    bench.pass(1000);
-    EXPECT_EQ(bench.applied[lost].back(), "two are a majority");
-}
-
-TEST(Agreement, AnOlderFolderIsToldToGo) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader(), back = (leader + 1) % 3;
-    const raft::Stored copy = bench.disks[back];
-    for (int i = 0; i < 10; ++i) bench.all[leader]->propose("x");
-    bench.pass(500);
-    bench.disks[back] = copy;  // an hour ago, say
-    bench.start(back);
-    bench.pass(1000);
-    EXPECT_TRUE(bench.all[back]->retired());
-    EXPECT_EQ(bench.leader(), leader);
-}
-
-TEST(Agreement, ALaterRunWithALowerTermIsToldToGoByWhoeverRemembers) {
-    Bench names(3);
+    // Now its vote counts: with the third node stopped, the two form a majority.
+    const int third = 3 - cluster.leader() - lost;
+    cluster.all[third].reset();
+    cluster.all[cluster.leader()]->propose("two are a majority");
+    cluster.advance(1000);
+    EXPECT_EQ(cluster.applied[lost].back(), "two are a majority");
+}
+
+TEST(Agreement, NodeRestoredFromAnOlderCopyIsRetired) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader(), back = (leader + 1) % 3;
+    const raft::Stored copy = cluster.disks[back];
+    for (int i = 0; i < 10; ++i) cluster.all[leader]->propose("x");
+    cluster.advance(500);
+    cluster.disks[back] = copy;  // restored from an older copy
+    cluster.start(back);
+    cluster.advance(1000);
+    EXPECT_TRUE(cluster.all[back]->retired());
+    EXPECT_EQ(cluster.leader(), leader);
+}
+
+TEST(Agreement, RestartedNodeWithALowerTermIsRejected) {
+    TestCluster names(3);
     raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
     RaftNode keeper(names.settings(0), disk, 0, 5);
@@ -227,64 +228,65 @@
     EXPECT_EQ(says(6, 4, 10), Message::Kind::vote) << "a later start as it should be";
 }
 
-TEST(Agreement, ASnapshotIsSentWhileEntriesGoOn) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader(), late = (leader + 1) % 3;
-    bench.all[late].reset();
-    for (int i = 0; i < 50; ++i) bench.all[leader]->propose("x" + std::to_string(i));
-    bench.pass(500);
-    bench.all[leader]->compact(bench.all[leader]->commit(), "all so far");
-    bench.flow();
-    bench.applied[late].clear();
-    bench.start(late);
+TEST(Agreement, SnapshotIsSentWhileEntriesAreAppended) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader(), late = (leader + 1) % 3;
+    cluster.all[late].reset();
+    for (int i = 0; i < 50; ++i) cluster.all[leader]->propose("x" + std::to_string(i));
+    cluster.advance(500);
+    cluster.all[leader]->compact(cluster.all[leader]->commit(), "all so far");
+    cluster.deliver_all();
+    cluster.applied[late].clear();
+    cluster.start(late);
     for (int i = 0; i < 20; ++i) {
-        bench.all[leader]->propose("y" + std::to_string(i));
-        bench.pass(60);
+        cluster.all[leader]->propose("y" + std::to_string(i));
+        cluster.advance(60);
     }
-    bench.pass(2000);
-    EXPECT_EQ(bench.disks[late].snapshot.data, "all so far");
-    ASSERT_FALSE(bench.applied[late].empty());
-    EXPECT_EQ(bench.applied[late].back(), "y19");
-    EXPECT_EQ(bench.all[late]->commit(), bench.all[leader]->commit());
-}
-
-TEST(Agreement, MembersChangeOneAtATimeAndOneThatDiesInBetweenHurtsNobody) {
-    Bench bench(5);
-    bench.pass(3000);
-    const int leader = bench.leader(), out = (leader + 1) % 5, dies = (leader + 2) % 5;
-    ASSERT_TRUE(bench.all[leader]->remove(out));
-    EXPECT_FALSE(bench.all[leader]->remove(dies)) << "one change at a time";
-    bench.all[dies].reset();
-    bench.pass(2000);
-    EXPECT_EQ(bench.all[leader]->members().size(), 4U);
-    EXPECT_FALSE(bench.all[leader]->remove(leader)) << "not itself";
-    bench.pass(5000);
-    EXPECT_TRUE(bench.all[out]->retired()) << "it stands no more once told";
-    ASSERT_TRUE(bench.all[bench.leader()]->propose("goes on"));
-}
-
-TEST(Agreement, AQuestionIsConfirmedByAMajoritysWordGivenAfterIt) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader();
-    ASSERT_TRUE(bench.all[leader]->confirm(5));
-    EXPECT_TRUE(bench.confirmed.empty());
-    bench.flow();
-    EXPECT_EQ(bench.confirmed, std::vector<std::uint64_t>{5});
-    bench.cut_off(leader);
-    ASSERT_TRUE(bench.all[leader]->confirm(6));
-    bench.pass(6000);
-    EXPECT_EQ(bench.confirmed.size(), 1U) << "never, of one that nobody hears";
-    EXPECT_FALSE(bench.all[(leader + 1) % 3]->confirm(7) && bench.leader() != (leader + 1) % 3);
-}
-
-// Figure 8 of the paper: an entry of an earlier term on a majority is not committed by counting alone.
-TEST(Agreement, EntriesOfEarlierTermsCommitOnlyUnderOneOfTheOwn) {
+    cluster.advance(2000);
+    EXPECT_EQ(cluster.disks[late].snapshot.data, "all so far");
+    ASSERT_FALSE(cluster.applied[late].empty());
+    EXPECT_EQ(cluster.applied[late].back(), "y19");
+    EXPECT_EQ(cluster.all[late]->commit(), cluster.all[leader]->commit());
+}
+
+TEST(Agreement, MembersChangeOneAtATimeAlsoIfANodeStopsMeanwhile) {
+    TestCluster cluster(5);
+    cluster.advance(3000);
+    const int leader = cluster.leader(), out = (leader + 1) % 5, dies = (leader + 2) % 5;
+    ASSERT_TRUE(cluster.all[leader]->remove(out));
+    EXPECT_FALSE(cluster.all[leader]->remove(dies)) << "one change at a time";
+    cluster.all[dies].reset();
+    cluster.advance(2000);
+    EXPECT_EQ(cluster.all[leader]->members().size(), 4U);
+    EXPECT_FALSE(cluster.all[leader]->remove(leader)) << "not itself";
+    cluster.advance(5000);
+    EXPECT_TRUE(cluster.all[out]->retired()) << "it stands no more once told";
+    ASSERT_TRUE(cluster.all[cluster.leader()]->propose("goes on"));
+}
+
+TEST(Agreement, ReadIsConfirmedOnlyByLaterMajorityAcknowledgements) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader();
+    ASSERT_TRUE(cluster.all[leader]->confirm(5));
+    EXPECT_TRUE(cluster.confirmed.empty());
+    cluster.deliver_all();
+    EXPECT_EQ(cluster.confirmed, std::vector<std::uint64_t>{5});
+    cluster.isolate(leader);
+    ASSERT_TRUE(cluster.all[leader]->confirm(6));
+    cluster.advance(6000);
+    EXPECT_EQ(cluster.confirmed.size(), 1U) << "never, of one that nobody hears";
+    EXPECT_FALSE(cluster.all[(leader + 1) % 3]->confirm(7) && cluster.leader() != (leader + 1) % 3);
+}
+
+// Guards against the fault of figure 8 in the Raft paper: an entry of an earlier term that is stored on a
+// majority must not be committed by counting replicas alone.
+TEST(Agreement, EntriesOfEarlierTermsCommitOnlyWithOneOfTheCurrentTerm) {
     raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1, disk.term = 2;
     disk.entries = {{2, raft::Entry::Kind::data, "old"}};
-    Bench names(3);
+    TestCluster names(3);
     RaftNode keeper(names.settings(0), disk, 0, 5);
     const auto drain = [&] {
         std::vector<Message> out;
@@ -314,10 +316,10 @@
     EXPECT_EQ(keeper.commit(), 2U);
 }
 
-TEST(Agreement, AVoteIsKeptBeforeItIsSaidAndIsOneATerm) {
+TEST(Agreement, VoteIsPersistedBeforeItIsSentAndGivenOncePerTerm) {
     raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
-    Bench names(3);
+    TestCluster names(3);
     const auto ask = [](raft::MemberId from) {
         Message m;
         m.kind = Message::Kind::ask_vote, m.fleet = 7, m.from = from, m.to = 1;
@@ -333,15 +335,15 @@
     ASSERT_EQ(ready.messages.size(), 1U);
     EXPECT_TRUE(ready.messages[0].ok);
     disk.term = ready.vote->term, disk.voted = ready.vote->voted, disk.starts = 2;
-    RaftNode again(names.settings(0), disk, 0, 6);  // died after it had said so
+    RaftNode again(names.settings(0), disk, 0, 6);  // restarted after it had voted
     again.on_message(0, ask(3));
     ready = again.take_ready();
     ASSERT_EQ(ready.messages.size(), 1U);
     EXPECT_FALSE(ready.messages[0].ok);
 }
 
-TEST(Agreement, ALogThatMakesNoSenseIsRefused) {
-    Bench names(3);
+TEST(Agreement, InconsistentLogIsRejected) {
+    TestCluster names(3);
     raft::Stored disk = raft::bootstrap(7, 0, 3);
     disk.term = 3;
     disk.entries = {{2, raft::Entry::Kind::nothing, ""}, {1, raft::Entry::Kind::nothing, ""}};
@@ -350,9 +352,9 @@
     EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::Broken);
 }
 
-// ---- What is kept ----------------------------------------------------------------------------------------
+// ---- Persistent state ------------------------------------------------------------------------------------
 
-raft::Stored some_stored() {
+raft::Stored example_state() {
     raft::Stored s = raft::bootstrap(7, 1, 3);
     s.starts = 4, s.term = 9, s.voted = 2;
     s.snapshot.index = 5, s.snapshot.term = 3, s.snapshot.data = "book";
@@ -360,14 +362,14 @@
     return s;
 }
 
-TEST(Journal, ReplaysWhatWasKeptAndTellsATornTailFromRot) {
-    const std::string whole = store::records_of(some_stored());
+TEST(Journal, ReplaysRecordsAndDistinguishesTornTailFromCorruption) {
+    const std::string whole = store::records_of(example_state());
     const auto back = store::replay(whole);
     ASSERT_EQ(back.found, store::Replayed::Found::whole);
     EXPECT_EQ(back.stored.id, 2U);
     EXPECT_EQ(back.stored.term, 9U);
-    EXPECT_EQ(back.stored.entries, some_stored().entries);
-    EXPECT_EQ(back.stored.snapshot, some_stored().snapshot);
+    EXPECT_EQ(back.stored.entries, example_state().entries);
+    EXPECT_EQ(back.stored.snapshot, example_state().snapshot);
     for (std::size_t n = 0; n < whole.size(); ++n) {
         const auto cut = store::replay(whole.substr(0, n));
         EXPECT_NE(cut.found, store::Replayed::Found::spoilt) << "cut at " << n;
@@ -376,7 +378,7 @@
         rotten[n] = static_cast<char>(rotten[n] ^ 4);
         EXPECT_EQ(store::replay(rotten).found, store::Replayed::Found::spoilt) << "rotten at " << n;
     }
-    // A later entry replaces those from its index on.
+    // An entry replaces all stored ones from its index on.
     raft::Ready ready;
     ready.from = 7;
     ready.entries = {{10, raft::Entry::Kind::data, "b"}};
@@ -388,7 +390,7 @@
         << "a gap";
 }
 
-TEST(Hostile, MessagesOfKeepersHoldersAndBooks) {
+TEST(Hostile, MalformedMessagesRequestsAndSnapshotsAreRejected) {
     Message m;
     m.kind = Message::Kind::append, m.fleet = 7, m.from = 2, m.to = 1, m.term = 3;
     m.entries = {{3, raft::Entry::Kind::data, "abc"}};
@@ -454,30 +456,30 @@
     EXPECT_TRUE(book.tasks().empty());
 }
 
-TEST(Agreement, MessagesOfAnotherFleetToSomebodyElseOrFromAnEarlierRunChangeNothing) {
-    Bench bench(3);
-    bench.pass(3000);
-    const int leader = bench.leader(), other = (leader + 1) % 3;
+TEST(Agreement, MessagesOfOtherClustersReceiversOrEarlierRunsAreIgnored) {
+    TestCluster cluster(3);
+    cluster.advance(3000);
+    const int leader = cluster.leader(), other = (leader + 1) % 3;
     Message m;
     m.kind = Message::Kind::append, m.from = static_cast<raft::MemberId>(leader + 1),
     m.number = static_cast<std::uint32_t>(leader);
-    m.to = bench.all[other]->id(), m.term = 99, m.run = {1, 0}, m.fleet = 8;
-    const auto term = bench.all[other]->term();
-    const auto try_it = [&](const char* what) {
-        bench.all[other]->on_message(bench.now, m);
-        EXPECT_EQ(bench.all[other]->term(), term) << what;
-        EXPECT_FALSE(bench.all[other]->retired()) << what;
+    m.to = cluster.all[other]->id(), m.term = 99, m.run = {1, 0}, m.fleet = 8;
+    const auto term = cluster.all[other]->term();
+    const auto send_and_check = [&](const char* what) {
+        cluster.all[other]->on_message(cluster.now, m);
+        EXPECT_EQ(cluster.all[other]->term(), term) << what;
+        EXPECT_FALSE(cluster.all[other]->retired()) << what;
     };
-    try_it("another fleet's");
+    send_and_check("another fleet's");
     m.fleet = 7, m.to = 77;
-    try_it("another's");
-    m.to = bench.all[other]->id(), m.run = {0, 5};
-    try_it("an earlier run's");
+    send_and_check("another's");
+    m.to = cluster.all[other]->id(), m.run = {0, 5};
+    send_and_check("an earlier run's");
     m.kind = Message::Kind::gone, m.run = {77, 77};
-    try_it("told to go, but not in this run");
+    send_and_check("told to go, but not in this run");
 }
 
-// ---- Rights ----------------------------------------------------------------------------------------------
+// ---- Leases ----------------------------------------------------------------------------------------------
 
 lease::Op op(lease::Op::Kind kind, lease::HolderId holder, lease::Fence fence = 0, bool wait = true) {
     lease::Op one;
@@ -486,7 +488,7 @@
     return one;
 }
 
-TEST(Book, FencesOnlyGrowAndTheQueueKeepsItsOrder) {
+TEST(Book, FencingTokensIncreaseAndTheQueueKeepsItsOrder) {
     using Kind = lease::Op::Kind;
     lease::Book book;
     EXPECT_EQ(book.apply(op(Kind::want, 1)).fence, 1U);
@@ -496,7 +498,7 @@
     EXPECT_EQ(book.apply(op(Kind::lapse, 0, 9)).outcome, lease::Book::Outcome::nothing) << "not its fence";
     EXPECT_EQ(book.apply(op(Kind::release, 2, 1)).outcome, lease::Book::Outcome::nothing) << "not its holder";
     lease::Op release = op(Kind::release, 1, 1);
-    release.next = "h3";  // handed over, past the one who was first
+    release.next = "h3";  // handed over, ahead of the first waiter
     EXPECT_EQ(book.apply(release).to, 3U);
     EXPECT_EQ(book.find("probe")->fence, 2U);
     EXPECT_EQ(book.apply(op(Kind::lapse, 0, 1)).outcome, lease::Book::Outcome::nothing)
@@ -513,7 +515,7 @@
     EXPECT_EQ(book.apply(op(Kind::want, 999)).outcome, lease::Book::Outcome::full);
 }
 
-TEST(Book, ANoteIsLeftUnderTheTasksRightAloneAndOutlivesItsHolder) {
+TEST(Book, NoteNeedsTheCurrentLeaseAndOutlivesItsHolder) {
     using Kind = lease::Op::Kind;
     using Outcome = lease::Book::Outcome;
     lease::Book book;
@@ -543,7 +545,7 @@
     EXPECT_EQ(note(2, 2, 0, "late"), Outcome::nothing) << "it does not come back";
     book.apply(op(Kind::release, 2, 2));
     EXPECT_TRUE(book.notes().empty());
-    // As many as may be, and no more; those there can still be changed.
+    // Notes up to the limit are stored, one more is refused.
     for (std::size_t n = 0; n <= lease::kMaxNotes; ++n) {
         lease::Op one = op(Kind::want, 5);
         one.task = "task " + std::to_string(n);
@@ -553,8 +555,9 @@
     }
 }
 
-// A holder and its keepers' answers by hand.
-TEST(Holder, ANoteIsAskedAgainUntilItIsAnsweredOrItsRightIsOver) {
+// Guards against a note that is reported as stored although no replica has confirmed it, and against a lost
+// request that is not repeated.
+TEST(Holder, NoteIsRepeatedUntilAnsweredOrTheLeaseEnds) {
     lease::HolderSettings s;
     s.id = 7, s.keepers = 3, s.margin = 50;
     lease::Holder holder(s, 1);
@@ -576,7 +579,8 @@
     EXPECT_EQ(asked[0].question.fence, 3U);
     EXPECT_EQ(holder.note_state("t"), lease::Holder::Note::on_its_way);
     EXPECT_EQ(holder.note("t"), "before") << "not known to be left";
-    // Unanswered: again, under a later number, to another keeper; an answer to the first changes nothing.
+    // Without a response the request is repeated with a higher number to another replica; a late response to
+    // the first one changes nothing.
     std::vector<lease::Holder::Ask> again;
     for (double now = 20; now < 700 && again.empty(); now += 10) {
         holder.tick(now);
@@ -595,13 +599,13 @@
     holder.heard(710, done);
     EXPECT_EQ(holder.note_state("t"), lease::Holder::Note::left);
     EXPECT_EQ(holder.note("t"), "after");
-    // Its right over while one is on its way: nobody may know.
+    // If the lease ends while a note is pending, it may or may not have been stored.
     ASSERT_TRUE(holder.leave_note(720, "t", "third"));
     for (double now = 720; now < 3000; now += 10) holder.tick(now), holder.take();
     EXPECT_EQ(holder.note_state("t"), lease::Holder::Note::not_left);
 }
 
-TEST(Book, TheFullestBookGoesIntoOneSnapshot) {
+TEST(Book, StateAtAllLimitsFitsIntoOneSnapshot) {
     lease::Book book;
     for (std::size_t n = 0; n < lease::kMaxTasks + 1; ++n) {
         lease::Op one = op(lease::Op::Kind::want, n + 1);
@@ -618,22 +622,22 @@
     EXPECT_EQ(again.tasks().size(), lease::kMaxTasks);
 }
 
-TEST(Gate, TakesNoLowerFenceAlsoOfTasksItHasForgotten) {
+TEST(Gate, RefusesLowerTokensAlsoOfEvictedTasks) {
     lease::Gate gate(2);
     EXPECT_TRUE(gate.admit("a", 5));
     EXPECT_TRUE(gate.admit("a", 5));
     EXPECT_FALSE(gate.admit("a", 4));
     EXPECT_FALSE(gate.admit("a", 0));
     EXPECT_TRUE(gate.admit("b", 3));
-    EXPECT_TRUE(gate.admit("c", 9));  // b has the lowest fence, and goes
+    EXPECT_TRUE(gate.admit("c", 9));  // b has the lowest token and is evicted
     EXPECT_FALSE(gate.admit("b", 2));
     EXPECT_TRUE(gate.admit("b", 10));
     EXPECT_EQ(gate.refused(), 3U);
 }
 
-struct Asking {
+struct HolderFixture {
     lease::Holder holder;
-    Asking() : holder(settings(), 7) {}
+    HolderFixture() : holder(settings(), 7) {}
     static lease::HolderSettings settings() {
         lease::HolderSettings s;
         s.id = 42, s.name = "me", s.margin = 100;
@@ -652,22 +656,22 @@
     }
 };
 
-TEST(Holder, CountsFromItsAskingAndStopsAMarginEarly) {
-    Asking me;
+TEST(Holder, LeaseCountsFromTheRequestAndEndsAMarginEarly) {
+    HolderFixture me;
     me.holder.want(1000, "probe", 3000, false);
     const auto q = me.ask(1000);
     EXPECT_FALSE(me.holder.right(1000, "probe"));
-    me.holder.heard(1400, me.held(q));  // 400 ms on its way
+    me.holder.heard(1400, me.held(q));  // response 400 ms after the request
     ASSERT_TRUE(me.holder.right(1400, "probe"));
     EXPECT_EQ(me.holder.right(1400, "probe")->until, 3900);
     EXPECT_FALSE(me.holder.right(3900, "probe"));
 }
 
-TEST(Holder, AnAnswerDoubledOrAMinuteLateRevivesNothing) {
-    Asking me;
+TEST(Holder, DuplicateOrDelayedResponseDoesNotExtendALease) {
+    HolderFixture me;
     me.holder.want(0, "probe", 3000, false);
     const auto first = me.ask(0);
-    me.ask(10000);  // nobody has answered: a pause, and then another keeper
+    me.ask(10000);  // timed out: back-off, then another replica
     const auto second = me.ask(10060);
     ASSERT_GT(second.number, first.number);
     me.holder.heard(10061, me.held(first));
@@ -684,8 +688,8 @@
     EXPECT_FALSE(me.holder.right(61001, "probe")) << "another's";
 }
 
-TEST(Holder, WhatIsGivenUpIsNotActedUponWhateverBecomesOfTheMessage) {
-    Asking me;
+TEST(Holder, ReleasedLeaseIsNotUsedEvenIfTheReleaseIsLost) {
+    HolderFixture me;
     me.holder.want(0, "probe", 3000, false);
     me.holder.heard(10, me.held(me.ask(0)));
     ASSERT_TRUE(me.holder.right(20, "probe"));
@@ -695,14 +699,14 @@
     EXPECT_EQ(q.kind, lease::Question::Kind::release);
     EXPECT_EQ(q.fence, 5U);
     EXPECT_EQ(q.next, "you");
-    me.holder.heard(30, me.held(q));  // some old word
+    me.holder.heard(30, me.held(q));  // a delayed response
     EXPECT_FALSE(me.holder.right(31, "probe"));
     double now = 31;
     for (; me.holder.state("probe") != lease::Holder::State::idle && now < 10000; now += 10) me.ask(now);
     EXPECT_LT(now, 4500) << "unanswered, it ends by itself with the right";
 }
 
-TEST(Holder, RenewalsOfManyAreSpread) {
+TEST(Holder, RenewalsOfManyHoldersAreSpread) {
     std::map<int, int> by_slot;
     for (std::uint64_t n = 0; n < 2000; ++n) {
         lease::HolderSettings s;
@@ -719,7 +723,7 @@
     for (const auto& [slot, count] : by_slot) EXPECT_LT(count, 300) << "of 2,000 in " << slot << " x 100 ms";
 }
 
-// ---- Days ------------------------------------------------------------------------------------------------
+// ---- Simulated days --------------------------------------------------------------------------------------
 
 sim::Case quiet_day() {
     sim::Case day;
@@ -729,56 +733,57 @@
     return day;
 }
 
-sim::Played played(const sim::Case& day) {
+sim::Played run_day(const sim::Case& day) {
     sim::Played p = sim::play(day);
     for (const auto& f : p.findings) ADD_FAILURE() << f.at << " ms: " << f.rule << ": " << f.what;
     return p;
 }
 
-TEST(LeaseDay, QuietOneLeaderNobodyChangesHands) {
-    const auto p = played(quiet_day());
+TEST(LeaseDay, WithoutFaultsTheLeaderAndAllHoldersStay) {
+    const auto p = run_day(quiet_day());
     EXPECT_EQ(p.figures.at("leaders"), 1);
     EXPECT_EQ(p.figures.at("rights gained"), 2);
     EXPECT_LT(p.figures.at("syncs"), 40) << "renewals write nothing";
 }
 
-TEST(LeaseDay, AHoldersDeathIsTakenOverWithinLengthAndAWhile) {
+TEST(LeaseDay, TaskOfACrashedHolderIsGrantedSoonAfterTheLeaseEnds) {
     sim::Case day = quiet_day();
     for (int holder = 0; holder < 3; ++holder)
         day.faults.push_back({"holder-down", std::to_string(holder), 4000.0 + 4000 * holder, 300, 0});
-    const auto p = played(day);
+    const auto p = run_day(day);
     EXPECT_GE(p.figures.at("rights gained"), 3);
-    // The length stretched by the drift, and what it takes to agree.
+    // The lease's duration extended by the clock drift, plus the time to commit.
     EXPECT_LE(p.figures.at("longest without a holder"), 2000 * 1.06 + 300);
 }
 
-TEST(LeaseDay, AMajorityLostNobodyActsPastItsRightAndTermsGoOnGrowing) {
+TEST(LeaseDay, WithoutAMajorityNobodyActsPastItsLease) {
     sim::Case day = quiet_day();
     day.faults = {{"keeper-down", "0", 5000, 6000, 0}, {"keeper-down", "1", 5000, 6000, 0}};
-    const auto p = played(day);
+    const auto p = run_day(day);
     EXPECT_GE(p.figures.at("longest without a holder"), 3000) << "nobody can give rights meanwhile";
 }
 
-TEST(LeaseDay, AHolderStoppedInTheMiddleOfAnActIsRefusedByTheGate) {
+TEST(LeaseDay, GateRefusesActionsOfAHolderThatWasPaused) {
     sim::Case day = quiet_day();
     day.set["tasks"] = 1;
     for (int holder = 0; holder < 3; ++holder)
         day.faults.push_back({"holder-pause", std::to_string(holder), 3000.0 + 4000 * holder, 3500, 0});
-    const auto p = played(day);
+    const auto p = run_day(day);
     EXPECT_GE(p.figures.at("acts sent after a stop"), 1);
     EXPECT_GE(p.figures.at("stale acts refused"), 1);
 }
 
-// Two that were to wait for each other's terms for ever would find nobody: drawn elections end.
-TEST(LeaseDay, ManyElectionsEnd) {
+// Guards against elections that never end because candidates keep raising each other's terms; random election
+// timeouts prevent that.
+TEST(LeaseDay, RepeatedElectionsEnd) {
     sim::Case day = quiet_day();
     day.set["keepers"] = 5;
     for (int n = 0; n < 8; ++n) day.faults.push_back({"leader-down", "", 2000.0 + 1500 * n, 700, 0});
-    const auto p = played(day);
+    const auto p = run_day(day);
     EXPECT_GE(p.figures.at("leaders"), 8);
 }
 
-TEST(LeaseDay, DrawnDaysUnderEveryFault) {
+TEST(LeaseDay, RandomDaysWithAllFaults) {
     std::map<std::string, double> sums;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         const auto p = sim::play(sim::drawn_lease_day(seed));
