--- a/include/kelplb/balancer.hpp
+++ b/include/kelplb/balancer.hpp
@@ -33,11 +33,11 @@
 struct RequestClass {
     Effect effect = Effect::once;
     DedupScope dedup_scope = DedupScope::cell;
-    Millis dedup_window = 0;  // repeats are dropped this long after the first attempt that may have run
-    Millis aim = 1000;        // latency target; a later answer has only late_worth of its worth
-    double aim_stretch = 0;   // multiple of the request's effort that is added to the target
-    double late_worth = 0;    // worth of an answer after the latency target, relative to one within it
-    double worth = 1;         // of a request, relative to other classes
+    Millis dedup_window = 0;       // repeats are dropped this long after the first attempt that may have run
+    Millis latency_target = 1000;  // latency target; a later answer has only late_worth of its worth
+    double latency_target_stretch = 0;  // multiple of the request's effort that is added to the target
+    double late_worth = 0;  // worth of an answer after the latency target, relative to one within it
+    double worth = 1;       // of a request, relative to other classes
 };
 
 // Prices as shares of the result of one request, as operators state them; 0: not taken into account.
@@ -56,33 +56,33 @@
 struct Settings {
     std::vector<RequestClass> classes;  // at least one
     std::optional<ZoneId> my_zone;
-    std::uint32_t siblings = 1;      // number of sidecars that use these servers, this one included
-    std::uint32_t my_number = 0;     // index of this sidecar among them, from 0
-    bool list_on_request = false;    // the server list must be subscribed to
-    std::uint32_t max_attempts = 3;  // for one request, the first included
+    std::uint32_t sidecar_count = 1;  // number of sidecars that use these servers, this one included
+    std::uint32_t sidecar_index = 0;  // index of this sidecar among them, from 0
+    bool subscribe_to_list = false;   // the server list must be subscribed to
+    std::uint32_t max_attempts = 3;   // for one request, the first included
     // Admission: requests are refused by the concurrency limit and expected latencies. Off where a component
     // next to each server does this.
     bool admission = true;
     // How long a request is held while no server may have it, as a share of its latency target.
-    double hold = 1.0 / 16;
+    double max_hold_share = 1.0 / 16;
     // Retry budget: the long-term ratio of retries to requests, and the largest burst of retries.
     double retry_share = 0.2, retry_burst = 10;
-    bool parallel_tries = false;  // two attempts of one request may be outstanding at the same time
-    bool may_cancel = true;       // Cancel is permitted
-    bool may_probe = false;       // Probe is permitted
-    bool may_tell = false;        // messages to peers are permitted; server ids must agree then
-    double cold_from = 1;         // the least share of its capacity that a server has at its start, 0 to 1
-    Millis warm_within = 0;       // time from its start until it has its full capacity
-    double fall_multiple = 2;     // a cold server collapses under more than this multiple of its capacity
+    bool parallel_attempts = false;  // two attempts of one request may be outstanding at the same time
+    bool may_cancel = true;          // Cancel is permitted
+    bool may_probe = false;          // Probe is permitted
+    bool may_message_peers = false;  // messages to peers are permitted; server ids must agree then
+    double cold_capacity = 1;        // the least share of its capacity that a server has at its start, 0 to 1
+    Millis warmup_time = 0;          // time from its start until it has its full capacity
+    double overload_multiple = 2;    // a cold server collapses under more than this multiple of its capacity
     Fees fees;
     std::vector<Tenant> tenants;  // may be empty
-    double over_share_worth = 1;  // worth of a request beyond its tenant's quota, 0 to 1 of the usual
+    double over_quota_worth = 1;  // worth of a request beyond its tenant's quota, 0 to 1 of the usual
 };
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
 // Whether a server takes requests: yes; draining, so that outstanding attempts go on and none is added; no.
-enum class Phase { on, fading, off };
+enum class Phase { on, draining, off };
 
 struct ServerInfo {
     ServerId id = 0;
@@ -103,11 +103,11 @@
     completed,
     errored,             // the server reported an error; it may have run
     saturated,           // rejected by an overloaded server before it ran
-    overdue,             // no answer in time; it may have run or be running
+    timed_out,           // no answer in time; it may have run or be running
     refused_connection,  // no connection; it never ran
-    severed,             // the connection was lost meanwhile; it may have run
-    recalled,            // cancelled by the sidecar; it may have run
-    superseded           // not sent at all; it never ran
+    connection_lost,     // the connection was lost meanwhile; it may have run
+    cancelled,           // cancelled by the sidecar; it may have run
+    not_sent             // not sent at all; it never ran
 };
 
 struct Started {};  // the first event of a process; a list of kind saved follows
@@ -176,7 +176,7 @@
 struct Send {
     RequestId id = 0;
     ServerId server = 0;
-    Millis try_until = 0;  // the caller times the attempt out at this time
+    Millis attempt_deadline = 0;  // the caller times the attempt out at this time
 };
 struct Cancel {
     RequestId id = 0;
@@ -186,7 +186,7 @@
     RequestId id = 0;
     Millis retry_in = 0;  // when the client should retry; 0: no advice
 };
-struct GiveUp {  // final answer: failed, and the request may have had an effect
+struct Fail {  // final answer: failed, and the request may have had an effect
     RequestId id = 0;
 };
 struct SetTimer {
@@ -199,7 +199,7 @@
 struct CloseIdle {  // close the idle connections to the server
     ServerId server = 0;
 };
-struct TellPeer {
+struct SendToPeer {
     std::optional<std::uint32_t> to{};  // nullopt: all peers
     std::vector<std::uint8_t> bytes{};
 };
@@ -211,7 +211,7 @@
     std::string text{};
     std::optional<ServerId> server{};  // the server that the text is about
 };
-using Action = std::variant<Send, Cancel, Refuse, GiveUp, SetTimer, Probe, CloseIdle, TellPeer, Subscribe,
+using Action = std::variant<Send, Cancel, Refuse, Fail, SetTimer, Probe, CloseIdle, SendToPeer, Subscribe,
                             FetchList, Log>;
 
 // ---- The balancer ---------------------------------------------------------------------------------------
@@ -238,16 +238,17 @@
     // Counters since the start and present estimates, for monitoring.
     struct Tally {
         // Requests, attempts, retries among these, probes, and reports to all peers.
-        std::uint64_t arrived = 0, sent = 0, again = 0, probes = 0, told = 0;
+        std::uint64_t arrived = 0, sent = 0, retries = 0, probes = 0, told = 0;
         // Requests refused or failed by the balancer, by the last cause: the concurrency limit; no server
         // expected to answer in time; only cold servers, which were not drawn; no live server; attempts,
         // retry budget or time used up.
-        std::uint64_t by_room = 0, by_fit = 0, by_cold = 0, by_none = 0, by_end = 0;
+        std::uint64_t failed_by_limit = 0, failed_by_latency = 0, failed_by_cold = 0, failed_by_no_server = 0,
+                      failed_by_exhaustion = 0;
         std::uint64_t outcomes[8] = {};  // of attempts, in the order of Outcome
         // Concurrency limit; mean latency relative to the target; shares of attempts answered within their
         // target, and completed.
-        double room = 0, crowding = 0, timely = 0, served = 0;
-        Millis gap = 0;  // mean time between requests
+        double concurrency_limit = 0, latency_ratio = 0, on_time_share = 0, completed_share = 0;
+        Millis arrival_interval = 0;  // mean time between requests
         // Servers: listed, and of these cold, live, and removed or on trial.
         std::size_t listed = 0, cold = 0, live = 0, removed = 0;
     };
--- a/src/admission/module_settings.cpp
+++ b/src/admission/module_settings.cpp
@@ -27,23 +27,23 @@
             for (std::uint32_t i = 0; i < kAimSteps; ++i) {
                 kelplb::RequestClass c;
                 c.effect = effect;
-                c.aim = kMinAimMs * std::pow(2, i / 2.0);
+                c.latency_target = kMinAimMs * std::pow(2, i / 2.0);
                 c.late_worth = 0.3;
                 c.worth = std::pow(kRankWorthFactor, kRankCount - 1.0 - rank) * kFullWorthAimMs /
-                          std::max(kFullWorthAimMs, c.aim);
+                          std::max(kFullWorthAimMs, c.latency_target);
                 s.classes.push_back(c);
             }
     s.my_zone = zone;
-    s.siblings = proxies;
+    s.sidecar_count = proxies;
     s.max_attempts = kMaxAttempts;
-    s.cold_from = 0.5;
-    s.warm_within = kWarmUpMs;
+    s.cold_capacity = 0.5;
+    s.warmup_time = kWarmUpMs;
     s.fees.cross_zone = kCrossZoneFee;
     // The library's retry budget is opened wide: attempts that an admission refuses cost nothing, and those
     // that reach a server are limited by RetryBudget.
     s.retry_share = kMaxAttempts;
     s.retry_burst = 1000;
-    s.hold = kHoldAims;
+    s.max_hold_share = kHoldAims;
     s.admission = false;  // Admission knows the server's free slots exactly
     return s;
 }
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -10,7 +10,7 @@
 // refused without passing them.
 //
 // Terms. Latency ratio: the duration of an attempt divided by the latency target of its request's
-// class. Cold server: one that started less than Settings::warm_within ago. Low-traffic sidecar: see
+// class. Cold server: one that started less than Settings::warmup_time ago. Low-traffic sidecar: see
 // low_traffic().
 #include <algorithm>
 #include <bit>
@@ -49,7 +49,7 @@
 constexpr double kConcurrencyLimitGain = 0.5;      // attempts for each unit of the ratio's deviation
 constexpr double kFailureLatencyRatio = 1.5;       // counted for an attempt without a usable answer
 // Upper bounds on the load given to a cold server, in shares of the multiple of its capacity at which it
-// collapses (Settings::fall_multiple): by our own decision, and in addition by guidance. The rest absorbs
+// collapses (Settings::overload_multiple): by our own decision, and in addition by guidance. The rest absorbs
 // random variation.
 constexpr double kOwnColdShare = 0.5, kGuidedColdShare = 0.375;
 constexpr double kCrowdedRatio = 0.35;            // of a crowded pool; well above that of an idle one
@@ -83,7 +83,7 @@
 constexpr std::size_t kMaxIdleServers = 8;  // to which a low-traffic sidecar keeps an idle connection
 
 bool proves_never_ran(Outcome o) {
-    return o == Outcome::saturated || o == Outcome::refused_connection || o == Outcome::superseded;
+    return o == Outcome::saturated || o == Outcome::refused_connection || o == Outcome::not_sent;
 }
 
 // Exponential moving average with a time constant of kWindowSize / 2 samples.
@@ -141,7 +141,7 @@
     bool streaming = false;
     bool hold_timer_set = false;
     Millis hold_until = 0;  // a held request is answered at this time at the latest
-    std::uint64_t Balancer::Tally::*reject_reason = &Balancer::Tally::by_end;
+    std::uint64_t Balancer::Tally::*reject_reason = &Balancer::Tally::failed_by_exhaustion;
     int probes_pending = 0, probe_rounds = 0;
     std::vector<Attempt> attempts;
 
@@ -163,7 +163,7 @@
 
 struct Balancer::Impl {
     Impl(Settings s, std::uint64_t seed)
-        : settings(std::move(s)), random(seed), shares(settings.tenants, settings.siblings) {
+        : settings(std::move(s)), random(seed), shares(settings.tenants, settings.sidecar_count) {
         validate(settings);
         for (const RequestClass& c : settings.classes) max_worth = std::max(max_worth, c.worth);
         if (max_worth == 0) max_worth = 1;
@@ -197,7 +197,8 @@
     Millis next_report_at = 0;
     std::vector<RequestId> ended_requests;  // during this event
     Tally tally;
-    std::uint64_t Tally::*reject_reason = &Tally::by_end;  // why the last place() found no server
+    std::uint64_t Tally::*reject_reason =
+        &Tally::failed_by_exhaustion;  // why the last place() found no server
 
     void emit(Action action) { actions->push_back(std::move(action)); }
 
@@ -224,7 +225,8 @@
         if (r.ended || r.streaming || now >= r.deadline) return false;  // rule 1
         if (r.attempts.size() >= settings.max_attempts) return false;
         if (!s.listed || s.info.phase != Phase::on) return false;  // rule 3
-        if (r.any_outstanding() && (!settings.parallel_tries || r.spec.effect == Effect::once)) return false;
+        if (r.any_outstanding() && (!settings.parallel_attempts || r.spec.effect == Effect::once))
+            return false;
         if (r.spec.effect == Effect::once && r.first_possible_run()) return false;  // rule 2
         if (r.spec.effect == Effect::by_key)
             if (const Attempt* first = r.first_possible_run()) {
@@ -243,26 +245,26 @@
                now < first->sent_at + r.spec.dedup_window;
     }
 
-    // Slow start. The capacity of a starting server is at least cold_from of its full one and rises linearly
-    // to the whole at warm_within. The server is a candidate for a request with that probability:
+    // Slow start. The capacity of a starting server is at least cold_capacity of its full one and rises
+    // linearly to the whole at warmup_time. The server is a candidate for a request with that probability:
     // probabilities add up to what it can do with any number of sidecars, where a minimum or a token bucket
     // in each sidecar would be a flood from a thousand of them. The probability is scaled by our share of
     // attempts that complete, because a storm of retries is many times what servers can do.
     bool is_cold(const Server& s) const {
-        return settings.warm_within > 0 && s.info.online_since > 0 &&
-               now < s.info.online_since + settings.warm_within;
+        return settings.warmup_time > 0 && s.info.online_since > 0 &&
+               now < s.info.online_since + settings.warmup_time;
     }
     // The share of its full capacity that the server is sure to have by now.
     double capacity(const Server& s) const {
         if (!is_cold(s)) return 1;
-        const double age = std::max(0.0, now - s.info.online_since) / settings.warm_within;
-        return settings.cold_from + (1 - settings.cold_from) * std::min(1.0, age);
+        const double age = std::max(0.0, now - s.info.online_since) / settings.warmup_time;
+        return settings.cold_capacity + (1 - settings.cold_capacity) * std::min(1.0, age);
     }
     double cold_probability(const Server& s) const {
         const double share = capacity(s);
         // While its answers are on time it gets more than its sure capacity: most servers warm up sooner.
         const bool on_time = s.capped_ratio > 0 && s.capped_ratio <= kTargetLatencyRatio;
-        const double boost = on_time ? std::max(1.0, kOwnColdShare * settings.fall_multiple) : 1;
+        const double boost = on_time ? std::max(1.0, kOwnColdShare * settings.overload_multiple) : 1;
         return boost * share * completed_share;
     }
 
@@ -307,13 +309,13 @@
         if (!guided() || s.guidance.cold_rate <= 0) return 0;
         const double granted =
             s.guidance.cold_rate * arrival_interval / 1000 * static_cast<double>(servers.size());
-        return std::min(granted, kGuidedColdShare * settings.fall_multiple * settings.cold_from);
+        return std::min(granted, kGuidedColdShare * settings.overload_multiple * settings.cold_capacity);
     }
 
     // ---- Membership -------------------------------------------------------------------------------------
 
     void on(const Started&) {
-        if (settings.list_on_request) emit(Subscribe{true});
+        if (settings.subscribe_to_list) emit(Subscribe{true});
     }
 
     void on(const ServerList& list) {
@@ -358,7 +360,7 @@
 
     void update_window(Server& s, const Attempt& a, Outcome outcome, bool late) {
         const bool success = outcome == Outcome::completed && !late;  // a late answer counts like a time-out
-        const bool conclusive = outcome != Outcome::recalled && outcome != Outcome::superseded;
+        const bool conclusive = outcome != Outcome::cancelled && outcome != Outcome::not_sent;
         if (s.pool_state == PoolState::trial && a.trial) {
             if (!conclusive)
                 s.pool_state = PoolState::removed;  // undecided: the next request is the trial
@@ -371,7 +373,7 @@
         if (!conclusive || s.pool_state != PoolState::live) return;
         s.outcome_window = (s.outcome_window << 1 | (success ? 1 : 0)) & ((1u << kWindowSize) - 1);
         s.window_count = std::min(s.window_count + 1, kWindowSize);
-        if (!success && below_threshold(s) && may_remove(late || outcome == Outcome::overdue)) remove(s);
+        if (!success && below_threshold(s) && may_remove(late || outcome == Outcome::timed_out)) remove(s);
     }
 
     // If all servers are slow for a common reason, all of them fail, and removing them would be an outage.
@@ -454,7 +456,8 @@
     // outcome does.
     double oldest_wait_ratio(const Server& s) const {
         double most = 0;
-        for (const auto& [sent, aim] : s.in_flight) most = std::max(most, (now - sent) / aim);
+        for (const auto& [sent, latency_target] : s.in_flight)
+            most = std::max(most, (now - sent) / latency_target);
         return most;
     }
     bool expected_in_time(const Server& s, const Request& r) const {
@@ -486,7 +489,8 @@
     // result, whatever the price of a message; less often while answers are quick, as there is little to
     // gain.
     void report_to_fleet() {
-        if (!settings.may_tell || settings.siblings < 2 || arrival_interval <= 0 || now < next_report_at)
+        if (!settings.may_message_peers || settings.sidecar_count < 2 || arrival_interval <= 0 ||
+            now < next_report_at)
             return;
         std::vector<FleetView::ServerCount> counts;
         for (const auto& [id, s] : servers)
@@ -494,10 +498,10 @@
                 counts.push_back({id, s.outstanding, failures});
         const auto bytes = FleetView::encode(now, shares, std::move(counts));
         const double cost =
-            settings.fees.peer * static_cast<double>(bytes.size()) / 256 * (settings.siblings - 1);
+            settings.fees.peer * static_cast<double>(bytes.size()) / 256 * (settings.sidecar_count - 1);
         const double max_cost = kMaxReportCost * std::clamp(pool_ratio / kCrowdedRatio, kIdleReportPart, 1.0);
         next_report_at = now + std::max(kMinReportIntervalMs, cost / max_cost * arrival_interval);
-        emit(TellPeer{std::nullopt, bytes});
+        emit(SendToPeer{std::nullopt, bytes});
         ++tally.told;
     }
 
@@ -511,7 +515,8 @@
             const bool due = s.pool_state == PoolState::removed && now >= s.backoff_until;
             if (!due && s.pool_state != PoolState::live) continue;
             if (!may_send(r, s)) {
-                if (s.listed && s.info.phase == Phase::on && is_cold(s)) reject_reason = &Tally::by_cold;
+                if (s.listed && s.info.phase == Phase::on && is_cold(s))
+                    reject_reason = &Tally::failed_by_cold;
                 continue;
             }
             if (follow && removed_by_guidance(s)) {
@@ -520,7 +525,7 @@
             }
             if (due || (follow && s.guidance.removed)) return &s;  // half-open: this request is its trial
             if (!expected_in_time(s, r)) {
-                reject_reason = &Tally::by_fit;
+                reject_reason = &Tally::failed_by_latency;
                 continue;
             }
             (guided() && !s.guidance.preferred ? not_preferred
@@ -589,12 +594,12 @@
     }
     void suspect(Server& s) { s.suspicion = suspicion(s) + 1, s.suspected_at = now; }
     void gossip_failure(ServerId id) {
-        if (!settings.may_tell || !low_traffic()) return;
+        if (!settings.may_message_peers || !low_traffic()) return;
         std::vector<std::uint8_t> bytes;
         for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<std::uint8_t>(id >> shift));
-        for (std::uint32_t i = 0; i < settings.siblings / kFailureGossipDivisor; ++i) {
-            const auto peer = static_cast<std::uint32_t>(random.below(settings.siblings));
-            if (peer != settings.my_number) emit(TellPeer{peer, bytes});
+        for (std::uint32_t i = 0; i < settings.sidecar_count / kFailureGossipDivisor; ++i) {
+            const auto peer = static_cast<std::uint32_t>(random.below(settings.sidecar_count));
+            if (peer != settings.sidecar_index) emit(SendToPeer{peer, bytes});
         }
     }
     void on(const PeerMessage& e) {
@@ -672,16 +677,17 @@
         bool error = false;
         switch (e.outcome) {
             case Outcome::completed:
-                ratio = std::min(kFailureLatencyRatio, e.duration / r.spec.aim);
-                server_ratio = std::min(kMaxLatencyRatio, e.duration / r.spec.aim);
+                ratio = std::min(kFailureLatencyRatio, e.duration / r.spec.latency_target);
+                server_ratio = std::min(kMaxLatencyRatio, e.duration / r.spec.latency_target);
                 break;
-            case Outcome::overdue:
-                server_ratio = std::min(kMaxLatencyRatio, kTimeoutLatencyFactor * e.duration / r.spec.aim);
+            case Outcome::timed_out:
+                server_ratio =
+                    std::min(kMaxLatencyRatio, kTimeoutLatencyFactor * e.duration / r.spec.latency_target);
                 break;
             case Outcome::saturated:
                 break;
-            case Outcome::recalled:
-            case Outcome::superseded:
+            case Outcome::cancelled:
+            case Outcome::not_sent:
                 return;
             default:
                 if (!window_fills_slowly()) return;  // its window shows the failures soon enough
@@ -689,7 +695,7 @@
                 server_ratio =
                     e.outcome == Outcome::refused_connection ? kFailureLatencyRatio : kMaxLatencyRatio;
                 std::erase_if(s.failure_expiries, [&](Millis until) { return until <= now; });
-                s.failure_expiries.push_back(now + server_ratio * r.spec.aim);
+                s.failure_expiries.push_back(now + server_ratio * r.spec.latency_target);
         }
         if (!error) smooth(s.capped_ratio, ratio), server_ratio *= capacity(s);
         if (s.ratio <= 0) s.ratio = server_ratio, s.concurrency = a.concurrency;
@@ -711,7 +717,8 @@
         smooth(peak_outstanding, outstanding);
         peak_outstanding = std::max<double>(peak_outstanding, outstanding);
         // Where attempts end at their target, those that would be late hold no capacity.
-        const bool cut = r.attempt_deadline < r.deadline && r.attempt_deadline - a.sent_at <= r.spec.aim;
+        const bool cut =
+            r.attempt_deadline < r.deadline && r.attempt_deadline - a.sent_at <= r.spec.latency_target;
         const double step =
             kConcurrencyLimitGain * ((cut ? kTargetLatencyRatioIfCut : kTargetLatencyRatio) - pool_ratio);
         if (step < 0)
@@ -726,7 +733,7 @@
     // kMinFleetAttemptsPerServer.
     double min_concurrency_limit() const { return own_share() * static_cast<double>(servers.size()); }
     double own_share() const {
-        return std::min(1.0, kMinFleetAttemptsPerServer / std::max(1u, settings.siblings));
+        return std::min(1.0, kMinFleetAttemptsPerServer / std::max(1u, settings.sidecar_count));
     }
 
     // The class of the highest worth may use the whole limit, the others leave a part of it free. A limit
@@ -764,9 +771,9 @@
             r.spec = settings.classes[e.class_index];
         } else {  // unknown class: the most restrictive handling
             r.spec.effect = Effect::once;
-            r.spec.aim = std::max(1.0, e.time_left);
+            r.spec.latency_target = std::max(1.0, e.time_left);
         }
-        r.spec.aim += r.spec.aim_stretch * std::max(0.0, e.effort);
+        r.spec.latency_target += r.spec.latency_target_stretch * std::max(0.0, e.effort);
         r.deadline = now + std::max(0.0, e.time_left);
         r.attempt_deadline = r.deadline;
         // An answer past the target is worth nothing to such a client, who does not repeat the request
@@ -774,14 +781,14 @@
         // would double the work instead.
         const bool client_repeats = r.spec.effect != Effect::by_key || r.spec.dedup_scope == DedupScope::all;
         if (settings.may_cancel && r.spec.late_worth <= 0 && !client_repeats)
-            r.attempt_deadline = std::min(r.deadline, now + r.spec.aim - kEarlyEndMs);
+            r.attempt_deadline = std::min(r.deadline, now + r.spec.latency_target - kEarlyEndMs);
         // Counted in any case, as other sidecars need the rate; if requests beyond the quota are worth as
         // much as others, none is handled differently.
-        r.within_quota = shares.admit(now, e.tenant) || settings.over_share_worth >= 1;
+        r.within_quota = shares.admit(now, e.tenant) || settings.over_quota_worth >= 1;
         if (last_arrival >= 0) smooth(arrival_interval, now - last_arrival);
         last_arrival = now;
         retry_budget = std::min(retry_budget + settings.retry_share, settings.retry_burst);
-        r.hold_until = std::min(r.deadline, now + r.spec.aim * settings.hold);
+        r.hold_until = std::min(r.deadline, now + r.spec.latency_target * settings.max_hold_share);
         set_timer(r.deadline, r.id);
         place(r);
         report_to_fleet();
@@ -789,9 +796,9 @@
 
     // Sends the request, starts probes for it, holds it or ends it.
     void place(Request& r) {
-        reject_reason = &Tally::by_room;
+        reject_reason = &Tally::failed_by_limit;
         if (within_limit(r)) {
-            reject_reason = &Tally::by_none;
+            reject_reason = &Tally::failed_by_no_server;
             if (Server* s = pick_server(r)) return dispatch(r, *s);
             if (r.probes_pending > 0) return;  // placed when the probes end
         }
@@ -799,7 +806,7 @@
         if (r.any_outstanding()) return;
         if (now >= r.hold_until || r.attempts.size() >= settings.max_attempts ||
             (r.first_possible_run() && r.spec.effect == Effect::once)) {
-            r.reject_reason = r.attempts.empty() ? reject_reason : &Tally::by_end;
+            r.reject_reason = r.attempts.empty() ? reject_reason : &Tally::failed_by_exhaustion;
             return finish(r);
         }
         held_requests.push_back(r.id);
@@ -815,10 +822,10 @@
         if (guided() && s.guidance.trial != 0) s.last_trial = s.guidance.trial;
         if (!r.attempts.empty()) retry_budget -= 1;
         ++tally.sent;
-        if (!r.attempts.empty()) ++tally.again;
+        if (!r.attempts.empty()) ++tally.retries;
         ++s.outstanding;
         s.idle_connections = has_idle(s) ? s.idle_connections - 1 : 0;
-        s.in_flight.emplace_back(now, r.spec.aim);
+        s.in_flight.emplace_back(now, r.spec.latency_target);
         ++outstanding;
         r.probes_pending = 0, r.probe_rounds = 0;
         r.attempts.push_back({s.info.id, s.info.zone, s.info.cell, now, true, true, trial, load(s)});
@@ -834,18 +841,19 @@
     void record_outcome(Server& s, const Request& r, const Attempt& a, const AttemptEnded& e) {
         --s.outstanding;
         const auto entry =
-            std::find(s.in_flight.begin(), s.in_flight.end(), std::pair(a.sent_at, r.spec.aim));
+            std::find(s.in_flight.begin(), s.in_flight.end(), std::pair(a.sent_at, r.spec.latency_target));
         if (entry != s.in_flight.end()) s.in_flight.erase(entry);
         // A time-out after less time than the answer was expected to take says nothing about the server.
         AttemptEnded counted = e;
-        if (e.outcome == Outcome::overdue &&
-            e.duration < r.spec.aim * std::min(1.0, ratio_per_attempt * (1 + a.concurrency) / capacity(s)))
-            counted.outcome = Outcome::recalled;
+        if (e.outcome == Outcome::timed_out &&
+            e.duration <
+                r.spec.latency_target * std::min(1.0, ratio_per_attempt * (1 + a.concurrency) / capacity(s)))
+            counted.outcome = Outcome::cancelled;
         update_latency(s, r, a, counted);
-        update_window(s, a, counted.outcome, e.duration > r.spec.aim && !is_cold(s));
-        if (counted.outcome == Outcome::recalled || counted.outcome == Outcome::superseded) return;
+        update_window(s, a, counted.outcome, e.duration > r.spec.latency_target && !is_cold(s));
+        if (counted.outcome == Outcome::cancelled || counted.outcome == Outcome::not_sent) return;
         smooth(completed_share, e.outcome == Outcome::completed ? 1.0 : 0.0);
-        const bool on_time = e.outcome == Outcome::completed && e.duration <= r.spec.aim;
+        const bool on_time = e.outcome == Outcome::completed && e.duration <= r.spec.latency_target;
         smooth(on_time_share, on_time ? 1.0 : 0.0);
         if (!on_time && low_traffic()) suspect(s), gossip_failure(s.info.id);
     }
@@ -920,7 +928,7 @@
         if (may_refuse(r))
             emit(Refuse{r.id, retry_delay(r)});
         else
-            emit(GiveUp{r.id});
+            emit(Fail{r.id});
         r.ended = true;
         ended_requests.push_back(r.id);
     }
@@ -931,7 +939,7 @@
         Millis first = kBackoffMs;
         for (const auto& [id, s] : servers) {
             if (!s.listed || s.info.phase != Phase::on) continue;
-            if (s.pool_state == PoolState::live) return std::max(1.0, pool_ratio * r.spec.aim);
+            if (s.pool_state == PoolState::live) return std::max(1.0, pool_ratio * r.spec.latency_target);
             first = std::min(first, s.backoff_until - now);
         }
         return std::max(1.0, first);
@@ -982,8 +990,9 @@
 
 Balancer::Tally Balancer::tally() const {
     Tally t = impl_->tally;
-    t.room = impl_->concurrency_limit, t.crowding = impl_->pool_ratio, t.timely = impl_->on_time_share;
-    t.served = impl_->completed_share, t.gap = impl_->arrival_interval;
+    t.concurrency_limit = impl_->concurrency_limit, t.latency_ratio = impl_->pool_ratio,
+    t.on_time_share = impl_->on_time_share;
+    t.completed_share = impl_->completed_share, t.arrival_interval = impl_->arrival_interval;
     for (const auto& [id, s] : impl_->servers) {
         if (!s.listed || s.info.phase != Phase::on) continue;
         ++t.listed, t.cold += impl_->is_cold(s);
--- a/src/caller/caller.hpp
+++ b/src/caller/caller.hpp
@@ -26,7 +26,7 @@
 //   void answer(const ClientPtr&, Response&&, bool own)   `own`: generated here, not by a server
 //   Response refusal(Story&, Millis retry_in)  Response failure(Story&)
 //   ZoneId zone_number(const std::string&)
-//   void carry_out(const TellPeer&), (const Subscribe&) and (const FetchList&)
+//   void carry_out(const SendToPeer&), (const Subscribe&) and (const FetchList&)
 //   void log(const std::string& text, const std::string& server)
 //   void arrived(std::uint32_t class_index)  void sent(ServerId)
 //   void ended(ServerId, Outcome, Millis duration, std::uint32_t class_index)
@@ -301,11 +301,11 @@
         environment_.sent(action.server);
         // Since the decision the request may have ended, or its server been removed or drained.
         if (request.ended || to == servers_.end() || !to->second.listed || to->second.phase != Phase::on)
-            return attempt_ended(key, Outcome::superseded, nullptr);
+            return attempt_ended(key, Outcome::not_sent, nullptr);
         if (!environment_.may_send(request.message, request.story, to->second.name))
-            return attempt_ended(key, Outcome::superseded, nullptr);
-        due_.push({action.try_until, 0, next_due_order_++, key, 0});
-        environment_.send(key, action.server, to->second.dial, request.message, action.try_until);
+            return attempt_ended(key, Outcome::not_sent, nullptr);
+        due_.push({action.attempt_deadline, 0, next_due_order_++, key, 0});
+        environment_.send(key, action.server, to->second.dial, request.message, action.attempt_deadline);
     }
 
     void carry_out(const Cancel& action) { environment_.cancel({action.id, action.attempt}); }
@@ -317,7 +317,7 @@
         drop_request(action.id);
     }
 
-    void carry_out(const GiveUp& action) {
+    void carry_out(const Fail& action) {
         const auto at = requests_.find(action.id);
         if (at == requests_.end()) return;
         answer(action.id, at->second, environment_.failure(at->second.story), true);
@@ -337,7 +337,7 @@
     }
 
     void carry_out(const CloseIdle& action) { environment_.close_idle(action.server); }
-    void carry_out(const TellPeer& action) { environment_.carry_out(action); }
+    void carry_out(const SendToPeer& action) { environment_.carry_out(action); }
     void carry_out(const Subscribe& action) { environment_.carry_out(action); }
     void carry_out(const FetchList& action) { environment_.carry_out(action); }
 
--- a/src/exchange/connection_pool.hpp
+++ b/src/exchange/connection_pool.hpp
@@ -127,18 +127,17 @@
     }
 
     // The attempt has timed out: it ends as overdue, or as refused_connection if writing has not begun.
-    void expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::overdue); }
+    void expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::timed_out); }
     // The attempt is no longer wanted: it ends as recalled, or as superseded if writing has not begun (it has
     // then not run).
-    void cancel(AttemptKey key) { stop(key, Outcome::superseded, Outcome::recalled); }
+    void cancel(AttemptKey key) { stop(key, Outcome::not_sent, Outcome::cancelled); }
 
     // Ends the attempts of a request that have not begun to be written.
     void withdraw_request(RequestId id) {
         std::vector<ConnectionPtr> connecting;
         for (auto at = attempts_.lower_bound({id, 0}); at != attempts_.end() && at->first.id == id; ++at)
             if (at->second->state == ConnectionState::connecting) connecting.push_back(at->second);
-        for (const ConnectionPtr& connection : connecting)
-            end(connection, Outcome::superseded, nullptr, false);
+        for (const ConnectionPtr& connection : connecting) end(connection, Outcome::not_sent, nullptr, false);
     }
 
     // Ends the attempts to a server that have not begun to be written. Its connections are not reused,
@@ -148,8 +147,7 @@
         for (const auto& [key, connection] : attempts_)
             if (connection->server == server && connection->state == ConnectionState::connecting)
                 connecting.push_back(connection);
-        for (const ConnectionPtr& connection : connecting)
-            end(connection, Outcome::superseded, nullptr, false);
+        for (const ConnectionPtr& connection : connecting) end(connection, Outcome::not_sent, nullptr, false);
         retire(server);
     }
 
@@ -200,7 +198,9 @@
     }
 
     // End of stream, a reset, or an invalid answer after the whole request was written.
-    void broken(const ConnectionPtr& connection) { end(connection, Outcome::severed, nullptr, false); }
+    void broken(const ConnectionPtr& connection) {
+        end(connection, Outcome::connection_lost, nullptr, false);
+    }
 
     // An idle connection that has received input or has ended must not be reused.
     void woke(const ConnectionPtr& connection) {
@@ -212,7 +212,7 @@
         if (!connection->job) return;
         if (connection->state == ConnectionState::connecting)
             return end(connection, Outcome::refused_connection, nullptr, false);
-        if (connection->job->probe) end(connection, Outcome::overdue, nullptr, false);
+        if (connection->job->probe) end(connection, Outcome::timed_out, nullptr, false);
     }
 
     // ---- State -----------------------------------------------------------------------------------------
@@ -235,7 +235,7 @@
         if (!is_new) return write(connection);
         // The connection limit is reached, so the attempt is not sent; `superseded` does not count against
         // the server.
-        if (open_ > limits_.connections) return end(connection, Outcome::superseded, nullptr, false);
+        if (open_ > limits_.connections) return end(connection, Outcome::not_sent, nullptr, false);
         if (!connection->job->probe)
             transport_.set_timer(connection, transport_.now() + limits_.connect_timeout);
         transport_.connect(connection);
--- a/src/hop/attempt_rules.cpp
+++ b/src/hop/attempt_rules.cpp
@@ -51,8 +51,8 @@
 }
 
 AttemptReading AttemptRules::interpret(const NoAnswer& end, RequestHistory& history) {
-    history.reason = end.outcome == Outcome::overdue ? Reason::silent : Reason::unreachable;
-    if (end.outcome == Outcome::refused_connection || end.outcome == Outcome::superseded)
+    history.reason = end.outcome == Outcome::timed_out ? Reason::silent : Reason::unreachable;
+    if (end.outcome == Outcome::refused_connection || end.outcome == Outcome::not_sent)
         return {{end.outcome, false, false}};
     ++counts_.broken;
     return ran(history, end.outcome, false);
@@ -62,22 +62,23 @@
     history.reason = failure.reason;
     if (failure.execution != Execution::not_run || failure.reason == Reason::repeated) {
         ++counts_.broken;
-        return ran(history, failure.reason == Reason::silent ? Outcome::overdue : Outcome::severed, false);
+        return ran(history, failure.reason == Reason::silent ? Outcome::timed_out : Outcome::connection_lost,
+                   false);
     }
     if (failure.reason == Reason::turned_away) {
         ++history.counted_attempts;  // the server received it, so the next attempt is a retry
-        return {{Outcome::superseded, false}};
+        return {{Outcome::not_sent, false}};
     }
     ++counts_.bounced;
     if (failure.reason == Reason::unreachable) return {{Outcome::refused_connection, false, false}};
-    AttemptReading result{{Outcome::superseded, false, false}};
+    AttemptReading result{{Outcome::not_sent, false, false}};
     result.avoid_server = failure.reason != Reason::full && failure.reason != Reason::late;
     return result;
 }
 
 AttemptReading AttemptRules::interpret(const ServerAnswered& answer, RequestHistory& history) {
     if (answer.status / 100 == 2) return ran(history, Outcome::completed, true);
-    if (answer.status < kFirstServerError) return ran(history, Outcome::recalled, true);
+    if (answer.status < kFirstServerError) return ran(history, Outcome::cancelled, true);
     AttemptReading result = ran(history, Outcome::errored, history.hop.once());
     result.keep_answer = true;
     return result;
--- a/src/hop/server_answer.cpp
+++ b/src/hop/server_answer.cpp
@@ -22,9 +22,9 @@
 }
 
 Failure failure_without_answer(Outcome outcome) {
-    if (outcome == Outcome::refused_connection || outcome == Outcome::superseded)
+    if (outcome == Outcome::refused_connection || outcome == Outcome::not_sent)
         return {Execution::not_run, Reason::unreachable};
-    return {Execution::may_have_run, outcome == Outcome::overdue ? Reason::silent : Reason::broken};
+    return {Execution::may_have_run, outcome == Outcome::timed_out ? Reason::silent : Reason::broken};
 }
 
 bool answers_another(std::string_view asked, std::string_view answered, unsigned status) {
--- a/src/lab/archive.cpp
+++ b/src/lab/archive.cpp
@@ -77,19 +77,19 @@
 
 double Archive::share() const {
     if (born_ == 0) return 1;
-    const double age = std::max(0.0, clock_.now() - born_) / options_.warm_within;
-    return options_.cold_from + (1 - options_.cold_from) * std::min(1.0, age);
+    const double age = std::max(0.0, clock_.now() - born_) / options_.warmup_time;
+    return options_.cold_capacity + (1 - options_.cold_capacity) * std::min(1.0, age);
 }
 
 void Archive::book_cold(Millis work) {
     const Millis now = clock_.now();
-    if (born_ == 0 || now >= born_ + options_.warm_within) return;
+    if (born_ == 0 || now >= born_ + options_.warmup_time) return;
     received_.emplace_back(now, work);
     while (received_.front().first < now - options_.fall_window) received_.pop_front();
     double sum = 0;
     for (const auto& [at, one] : received_) sum += one;
     const double fells =
-        options_.fall_multiple * share() * static_cast<double>(options_.slots) * options_.fall_window;
+        options_.overload_multiple * share() * static_cast<double>(options_.slots) * options_.fall_window;
     cold_peak_ = std::max(cold_peak_, sum / fells);
 }
 
--- a/src/lab/archive.hpp
+++ b/src/lab/archive.hpp
@@ -60,11 +60,11 @@
         std::size_t number = 0;  // in its fleet
         std::size_t slots = 4;   // requests in work at a time
         std::size_t queue = 32;
-        Millis work = 20;        // mean of a request's, exponential
-        double cold_from = 0.3;  // of its capacity just after a start, rising evenly
-        Millis warm_within = 8000;
+        Millis work = 20;            // mean of a request's, exponential
+        double cold_capacity = 0.3;  // of its capacity just after a start, rising evenly
+        Millis warmup_time = 8000;
         Millis dedup_window = 3000;
-        double fall_multiple = 3;  // of what it can do, over the window: more is pushing it over
+        double overload_multiple = 3;  // of what it can do, over the window: more is pushing it over
         Millis fall_window = 2000;
         std::uint64_t seed = 1;
     };
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -62,9 +62,9 @@
                     {"connect-timeout-ms", 250},
                     {"max-retry-after-ms", 1500}}},
                   {"rules",
-                   {{"cold-from", server.cold_from},
-                    {"fall-multiple", server.fall_multiple},
-                    {"warm-within-ms", server.warm_within}}}}}}
+                   {{"cold-from", server.cold_capacity},
+                    {"fall-multiple", server.overload_multiple},
+                    {"warm-within-ms", server.warmup_time}}}}}}
         .dump();
 }
 
--- a/src/lab/planner_children.cpp
+++ b/src/lab/planner_children.cpp
@@ -30,9 +30,9 @@
 void PlannerChildren::start(std::size_t p, const std::string& discovery, const Archive::Options& server) {
     std::string text = "[planner]\nlisten = \"" + text_of(at_[p]) + "\"\ndiscovery = \"" + discovery +
                        "\"\nnumber = " + std::to_string(p) + "\nsecret_file = \"" + secret_ +
-                       "\"\ncold_from = " + std::to_string(server.cold_from) +
-                       "\nwarm_within_ms = " + std::to_string(server.warm_within) +
-                       "\nfall_multiple = " + std::to_string(server.fall_multiple) + "\n";
+                       "\"\ncold_from = " + std::to_string(server.cold_capacity) +
+                       "\nwarm_within_ms = " + std::to_string(server.warmup_time) +
+                       "\nfall_multiple = " + std::to_string(server.overload_multiple) + "\n";
     // One of them starts from nothing every time.
     if (p > 0) text += "state_folder = \"" + folder_.path() + "/state" + std::to_string(p) + "\"\n";
     const std::string file = folder_.write("planner" + std::to_string(p) + ".toml", text);
--- a/src/lab/socket_engine.cpp
+++ b/src/lab/socket_engine.cpp
@@ -83,8 +83,8 @@
         o.servers = s.servers;
         o.forwarders = day_.count("forwarders", 12);
         o.server.slots = s.slots, o.server.queue = s.queue, o.server.work = s.work;
-        o.server.cold_from = s.cold_from, o.server.warm_within = s.warm_within;
-        o.server.fall_multiple = s.fall_multiple, o.server.fall_window = s.fall_window;
+        o.server.cold_capacity = s.cold_capacity, o.server.warmup_time = s.warmup_time;
+        o.server.overload_multiple = s.overload_multiple, o.server.fall_window = s.fall_window;
         o.notice = day_.get("discovery.notice_ms", 1500);
         o.classes = classes();
         o.seed = day_.seed;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -118,7 +118,7 @@
         Host h;
         h.name = item["host"].text();
         h.phase = item["health"].one_of<Phase>(
-            {{"SERVING", Phase::on}, {"DRAINING", Phase::fading}, {"DELETED", Phase::off}});
+            {{"SERVING", Phase::on}, {"DRAINING", Phase::draining}, {"DELETED", Phase::off}});
         // A deleted server needs no address.
         if (h.phase != Phase::off || item.has("dial")) h.dial = item["dial"].endpoint<tcp>();
         if (item.has("site")) h.zone = item["site"].text();
@@ -145,8 +145,8 @@
             r.dedup_scope = item["dedup-scope"].one_of<DedupScope>(
                 {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
         if (item.has("dedup-window-ms")) r.dedup_window = item["dedup-window-ms"].non_negative();
-        r.aim = item["on-time-ms"].non_negative();
-        if (item.has("aim-stretch")) r.aim_stretch = item["aim-stretch"].non_negative();
+        r.latency_target = item["on-time-ms"].non_negative();
+        if (item.has("aim-stretch")) r.latency_target_stretch = item["aim-stretch"].non_negative();
         if (item.has("credit")) r.worth = item["credit"].non_negative();
         if (item.has("late-value")) r.late_worth = item["late-value"].non_negative();
         const double give_up = item.has("give-up-ms") ? item["give-up-ms"].non_negative() : 3000;
@@ -154,26 +154,26 @@
         s.classes.push_back(r);
     }
     if (root.has("membership-mode"))
-        s.list_on_request = root["membership-mode"].one_of<bool>({{"pushed", false}, {"on_request", true}});
-    if (root.has("siblings")) s.siblings = root["siblings"].whole_number();
-    if (root.has("my-number")) s.my_number = root["my-number"].whole_number();
+        s.subscribe_to_list = root["membership-mode"].one_of<bool>({{"pushed", false}, {"on_request", true}});
+    if (root.has("siblings")) s.sidecar_count = root["siblings"].whole_number();
+    if (root.has("my-number")) s.sidecar_index = root["my-number"].whole_number();
     s.may_cancel = false;
     if (root.has("limits")) {
         const Field limits = root["limits"];
         if (limits.has("max-attempts")) s.max_attempts = limits["max-attempts"].whole_number();
-        if (limits.has("parallel-tries")) s.parallel_tries = limits["parallel-tries"].flag();
+        if (limits.has("parallel-tries")) s.parallel_attempts = limits["parallel-tries"].flag();
         if (limits.has("may-cancel")) s.may_cancel = limits["may-cancel"].flag();
         if (limits.has("may-probe")) s.may_probe = limits["may-probe"].flag();
-        if (limits.has("may-tell")) s.may_tell = limits["may-tell"].flag();
+        if (limits.has("may-tell")) s.may_message_peers = limits["may-tell"].flag();
         if (limits.has("connect-timeout-ms")) c.connect_timeout = limits["connect-timeout-ms"].non_negative();
         if (limits.has("idle-close-ms")) c.idle_close = limits["idle-close-ms"].non_negative();
         if (limits.has("max-retry-after-ms")) c.max_retry_after = limits["max-retry-after-ms"].non_negative();
     }
     if (root.has("rules")) {
         const Field rules = root["rules"];
-        if (rules.has("cold-from")) s.cold_from = rules["cold-from"].non_negative();
-        if (rules.has("fall-multiple")) s.fall_multiple = rules["fall-multiple"].non_negative();
-        if (rules.has("warm-within-ms")) s.warm_within = rules["warm-within-ms"].non_negative();
+        if (rules.has("cold-from")) s.cold_capacity = rules["cold-from"].non_negative();
+        if (rules.has("fall-multiple")) s.overload_multiple = rules["fall-multiple"].non_negative();
+        if (rules.has("warm-within-ms")) s.warmup_time = rules["warm-within-ms"].non_negative();
     }
     if (root.has("fees")) {
         const Field fees = root["fees"];
@@ -187,7 +187,7 @@
             c.tenants.push_back(item["name"].text());
             s.tenants.push_back({item.has("quota-per-s") ? item["quota-per-s"].non_negative() : 0});
         }
-    if (root.has("over-share-worth")) s.over_share_worth = root["over-share-worth"].non_negative();
+    if (root.has("over-share-worth")) s.over_quota_worth = root["over-share-worth"].non_negative();
     try {
         validate(s);
     } catch (const std::invalid_argument& error) {
--- a/src/net/dialect.cpp
+++ b/src/net/dialect.cpp
@@ -32,7 +32,7 @@
     // as it would tell the client that the request never ran.
     const unsigned status = response ? response->result_int() : 0;
     const bool unfit = status >= 400 && status < 500 && status != 408 && status != 429;
-    return {unfit ? Outcome::recalled : outcome,
+    return {unfit ? Outcome::cancelled : outcome,
             (outcome == Outcome::completed || unfit) && response != nullptr};
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -83,7 +83,7 @@
         return ec || call_ != call;  // abandoned by set_endpoint()
     };
     const auto exchange = [this, call, fail] {
-        const auto timeout = config_.settings.list_on_request ? kSharedServiceTimeout : kCallTimeout;
+        const auto timeout = config_.settings.subscribe_to_list ? kSharedServiceTimeout : kCallTimeout;
         call->stream->expires_after(call->full ? timeout
                                                : std::chrono::milliseconds(kLongPollMs) + kLongPollMargin);
         http::async_write(*call->stream, call->request, [this, call, fail](error_code ec, std::size_t) {
@@ -129,7 +129,7 @@
     if (call->full) fetch_requested_ = false;
     // The next call is sent before the list is applied, so that the watch has no gap.
     next();
-    if (list.whole || !list.hosts.empty() || config_.settings.list_on_request) handlers_.on_list(list);
+    if (list.whole || !list.hosts.empty() || config_.settings.subscribe_to_list) handlers_.on_list(list);
 }
 
 void Discovery::failed(const std::shared_ptr<Call>& call, const std::string& why) {
@@ -139,8 +139,8 @@
     idle_stream_.reset();
     // A discovery service shared by all sidecars is asked only for the changes after the version held:
     // requests for the full list from all sidecars would keep an overloaded service overloaded.
-    if (!config_.settings.list_on_request) resync_needed_ = true;
-    if (config_.settings.list_on_request) {
+    if (!config_.settings.subscribe_to_list) resync_needed_ = true;
+    if (config_.settings.subscribe_to_list) {
         active_ = false, fetch_requested_ = false;
         return handlers_.on_failure();
     }
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -59,7 +59,7 @@
       timer_(io),
       tally_timer_(io),
       tally_seconds_(shares.tally_seconds) {
-    if (config_.peer_listen && config_.settings.may_tell)
+    if (config_.peer_listen && config_.settings.may_message_peers)
         peers_ =
             std::make_unique<Peers>(io, config_, [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
                 sidecar_.peer_said(from, std::move(bytes));
@@ -67,7 +67,7 @@
     sidecar_.connect_to(discovery_, peers_.get());
     listener_.listen(config_.listen);
     sidecar_.start();
-    if (!config_.settings.list_on_request) discovery_.watch(true);
+    if (!config_.settings.subscribe_to_list) discovery_.watch(true);
     front_.open_for_use();
     std::ostringstream address;
     address << endpoint();
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -118,16 +118,16 @@
 void Sidecar::ended(ServerId server, Outcome outcome, Millis duration, std::uint32_t class_index) {
     if (!observer_) return;
     const auto& classes = config_.settings.classes;
-    const bool late = class_index < classes.size() && duration > classes[class_index].aim;
+    const bool late = class_index < classes.size() && duration > classes[class_index].latency_target;
     observer_->ended(server, outcome, duration, late);
 }
 
-void Sidecar::carry_out(const TellPeer& action) {
+void Sidecar::carry_out(const SendToPeer& action) {
     if (peers_) peers_->send(action.to, action.bytes);
 }
 
 void Sidecar::carry_out(const Subscribe& action) {
-    if (config_.settings.list_on_request && discovery_) discovery_->watch(action.active);
+    if (config_.settings.subscribe_to_list && discovery_) discovery_->watch(action.active);
 }
 
 void Sidecar::carry_out(const FetchList&) {
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -112,7 +112,7 @@
     Response refusal(Story& story, Millis retry_in) { return dialect_.refusal(story, retry_in); }
     Response failure(Story& story) { return dialect_.failure(story); }
     ZoneId zone_number(const std::string& zone) { return config_.zone(zone); }
-    void carry_out(const TellPeer& action);
+    void carry_out(const SendToPeer& action);
     void carry_out(const Subscribe& action);
     void carry_out(const FetchList& action);
     void log(const std::string& text, const std::string& server) const;
--- a/src/net/tally.cpp
+++ b/src/net/tally.cpp
@@ -12,9 +12,10 @@
                   "tally in=%llu out=%llu again=%llu ok=%llu err=%llu full=%llu over=%llu conn=%llu cut=%llu "
                   "room=%llu fit=%llu cold=%llu none=%llu end=%llu opened=%llu probes=%llu told=%llu "
                   "place=%.1f crowd=%.2f list=%zu/%zu/%zu",
-                  n(m.arrived), n(m.sent), n(m.again), n(o[0]), n(o[1]), n(o[2]), n(o[3]), n(o[4]), n(o[5]),
-                  n(m.by_room), n(m.by_fit), n(m.by_cold), n(m.by_none), n(m.by_end), n(s.opened),
-                  n(m.probes), n(m.told), m.room, m.crowding, m.listed, m.cold, m.removed);
+                  n(m.arrived), n(m.sent), n(m.retries), n(o[0]), n(o[1]), n(o[2]), n(o[3]), n(o[4]), n(o[5]),
+                  n(m.failed_by_limit), n(m.failed_by_latency), n(m.failed_by_cold), n(m.failed_by_no_server),
+                  n(m.failed_by_exhaustion), n(s.opened), n(m.probes), n(m.told), m.concurrency_limit,
+                  m.latency_ratio, m.listed, m.cold, m.removed);
     return line;
 }
 
@@ -28,18 +29,18 @@
     text.family("cobaltshift_attempts_ended_total", MetricsText::Kind::counter, "by outcome");
     for (const auto& [at, name] : kOutcomes) text.sample(count(m.outcomes[at]), {{"outcome", name}});
     text.family("cobaltshift_given_up_total", MetricsText::Kind::counter, "refused or failed, by hindrance");
-    text.sample(count(m.by_room), {{"hindrance", "room"}});
-    text.sample(count(m.by_fit), {{"hindrance", "fit"}});
-    text.sample(count(m.by_cold), {{"hindrance", "cold"}});
-    text.sample(count(m.by_none), {{"hindrance", "none"}});
-    text.sample(count(m.by_end), {{"hindrance", "end"}});
+    text.sample(count(m.failed_by_limit), {{"hindrance", "room"}});
+    text.sample(count(m.failed_by_latency), {{"hindrance", "fit"}});
+    text.sample(count(m.failed_by_cold), {{"hindrance", "cold"}});
+    text.sample(count(m.failed_by_no_server), {{"hindrance", "none"}});
+    text.sample(count(m.failed_by_exhaustion), {{"hindrance", "end"}});
     text.counter("cobaltshift_connections_opened_total", "to servers", count(s.opened));
     text.counter("cobaltshift_probes_total", "of the decision module", count(m.probes));
     text.family("cobaltshift_servers", MetricsText::Kind::gauge, "as this sidecar sees them");
     text.sample(static_cast<double>(m.listed), {{"state", "listed"}});
     text.sample(static_cast<double>(m.cold), {{"state", "cold"}});
     text.sample(static_cast<double>(m.removed), {{"state", "removed"}});
-    text.gauge("cobaltshift_room", "attempts out that admission lets be", m.room);
+    text.gauge("cobaltshift_room", "attempts out that admission lets be", m.concurrency_limit);
 }
 
 }  // namespace cobaltshift
--- a/src/plan/pace.hpp
+++ b/src/plan/pace.hpp
@@ -15,7 +15,7 @@
 // trial. Outcomes that don't depend on the server's health (recalled, superseded) never warrant one.
 inline bool is_news(kelplb::Outcome outcome, bool late, bool left_alone) {
     using kelplb::Outcome;
-    if (outcome == Outcome::recalled || outcome == Outcome::superseded) return false;
+    if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return false;
     return (outcome == Outcome::completed && !late) == left_alone;
 }
 
--- a/src/plan/planner.cpp
+++ b/src/plan/planner.cpp
@@ -25,7 +25,7 @@
     OutcomeCounts v;
     for (std::size_t i = 0; i < kOutcomes; ++i) {
         const auto outcome = static_cast<Outcome>(i);
-        if (outcome == Outcome::recalled || outcome == Outcome::superseded) continue;
+        if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) continue;
         v.total += static_cast<double>(to.outcomes[i] - from.outcomes[i]);
     }
     const auto done = static_cast<std::size_t>(Outcome::completed);
@@ -310,7 +310,7 @@
         // The slice follows from the attempts per second and unit that warm servers handle. It is fixed for
         // the incarnation, as unexpired grants could exceed a slice that has shrunk.
         if (is_cold(s, now) && s.slice == 0 && warm_units > 0 && now >= no_grants_until_)
-            s.slice = kPlannersSlice * settings_.fall_multiple * settings_.cold_from * warm_rate /
+            s.slice = kPlannersSlice * settings_.overload_multiple * settings_.cold_capacity * warm_rate /
                       warm_units * s.info.units;
         for (auto lease = s.leases.begin(); lease != s.leases.end();) {
             std::erase_if(lease->second, [&](const Lease& l) { return l.until <= now; });
@@ -353,8 +353,8 @@
 }
 
 bool Planner::is_cold(const Server& s, Millis now) const {
-    return settings_.warm_within > 0 && s.info.online_since > 0 &&
-           now < s.first_listed_at + settings_.warm_within;
+    return settings_.warmup_time > 0 && s.info.online_since > 0 &&
+           now < s.first_listed_at + settings_.warmup_time;
 }
 
 double Planner::granted_rate(const Server& s, Millis now, const std::string* except) const {
--- a/src/plan/planner.hpp
+++ b/src/plan/planner.hpp
@@ -32,9 +32,9 @@
     std::uint32_t window = 20;   // minimum number of pooled outcomes for a removal
     double removed_part = 0.34;  // maximum part of the listed servers that is removed at a time
     std::size_t subset = 0;      // mean number of preferred servers per forwarder; 0: all
-    double cold_from = 1;        // this and the next two: see kelplb::Settings
-    Millis warm_within = 0;
-    double fall_multiple = 2;
+    double cold_capacity = 1;    // this and the next two: see kelplb::Settings
+    Millis warmup_time = 0;
+    double overload_multiple = 2;
     std::size_t forwarders = 4096;  // maximum number known at a time; others are refused
     Millis publish_gap = 50;        // minimum time between plans published ahead of a tick
 };
--- a/src/probing_io/shared_probing.cpp
+++ b/src/probing_io/shared_probing.cpp
@@ -146,13 +146,13 @@
         std::vector<std::uint8_t> rumour;
         for (int shift = 24; shift >= 0; shift -= 8)
             rumour.push_back(static_cast<std::uint8_t>(server >> shift));
-        sidecar_.peer_said(sidecar_.config().settings.my_number, std::move(rumour));
+        sidecar_.peer_said(sidecar_.config().settings.sidecar_index, std::move(rumour));
     }
 }
 
 void SharedProbing::ended(ServerId server, Outcome outcome) {
     std::optional<bool> good;
-    if (outcome != Outcome::superseded) good = outcome == Outcome::completed;
+    if (outcome != Outcome::not_sent) good = outcome == Outcome::completed;
     prober_.probed(own_clock(), server, good);
     turn();
 }
--- a/src/routing/server_directory.cpp
+++ b/src/routing/server_directory.cpp
@@ -43,7 +43,7 @@
         listed.ip = node.ip;
         listed.traffic_port = node.traffic_port;
         listed.zone = node.zone;
-        listed.phase = open ? Phase::on : Phase::fading;
+        listed.phase = open ? Phase::on : Phase::draining;
         listed.born = current_start_times[server.life];
         listed.units = std::max(1U, server.capacity);
         lists.by_service[server.service].push_back(std::move(listed));
--- a/src/settings_file/settings_file.cpp
+++ b/src/settings_file/settings_file.cpp
@@ -137,9 +137,9 @@
         planner.count("window", s.core.window, 5, 1000);
         planner.number("removed_part", s.core.removed_part, 0, 0.5);
         planner.count("subset", s.core.subset, 0, plan::kMaxServers);
-        planner.number("cold_from", s.core.cold_from, 0, 1);
-        planner.number("warm_within_ms", s.core.warm_within, 0, 3600000);
-        planner.number("fall_multiple", s.core.fall_multiple, 1, 100);
+        planner.number("cold_from", s.core.cold_capacity, 0, 1);
+        planner.number("warm_within_ms", s.core.warmup_time, 0, 3600000);
+        planner.number("fall_multiple", s.core.overload_multiple, 1, 100);
         planner.count("forwarders", s.core.forwarders, 1, 100000);
         planner.count("connections", s.connections, 1, 1000000);
         planner.text("state_folder", s.state_folder);
--- a/src/sim/checkers/cold_budget.cpp
+++ b/src/sim/checkers/cold_budget.cpp
@@ -22,7 +22,7 @@
             while (window.front().first < now - servers_.fall_window) window.pop_front();
             double sum = 0;
             for (const auto& [when, work] : window) sum += work;
-            const double budget = servers_.fall_multiple * r.share * static_cast<double>(servers_.slots) *
+            const double budget = servers_.overload_multiple * r.share * static_cast<double>(servers_.slots) *
                                   servers_.fall_window * kChance;
             scene_.at_least("cold peak", sum / budget);
             if (sum > budget)
--- a/src/sim/checkers/plan.cpp
+++ b/src/sim/checkers/plan.cpp
@@ -149,7 +149,7 @@
             }
             for (const Archive* server : scene_.all<Archive>()) {
                 if (!server->cold()) continue;
-                const double can = servers_.fall_multiple * servers_.cold_from *
+                const double can = servers_.overload_multiple * servers_.cold_capacity *
                                    static_cast<double>(servers_.slots) / servers_.work *
                                    1000;  // attempts a second
                 const double part = granted[server->id()] / (kPlannersPart * can);
--- a/src/sim/faults/servers.cpp
+++ b/src/sim/faults/servers.cpp
@@ -37,7 +37,7 @@
 // Drains for half of its length, is off the list for the other half, and comes back as another process.
 const Registered kDrain = Registered::fault("drain", [](Scene& scene, const Fault& fault) {
     Archive& one = server(scene, fault);
-    scene.kernel.at(fault.at, [&one] { one.drain(kelplb::Phase::fading); });
+    scene.kernel.at(fault.at, [&one] { one.drain(kelplb::Phase::draining); });
     scene.kernel.at(fault.at + fault.length / 2, [&one] { one.drain(kelplb::Phase::off); });
     scene.kernel.at(fault.at + fault.length, [&one] { one.drain(kelplb::Phase::on); });
 });
--- a/src/sim/models/archive.cpp
+++ b/src/sim/models/archive.cpp
@@ -13,10 +13,10 @@
       slots(day.count("server.slots", 4)),
       queue(day.count("server.queue", 64)),
       work(day.get("server.work_ms", 20)),
-      warm_within(day.get("server.warm_within_ms", 8000)),
+      warmup_time(day.get("server.warm_within_ms", 8000)),
       fall_window(day.get("server.fall_window_ms", 1000)),
-      cold_from(day.get("server.cold_from", 0.3)),
-      fall_multiple(day.get("server.fall_multiple", 2.5)) {}
+      cold_capacity(day.get("server.cold_from", 0.3)),
+      overload_multiple(day.get("server.fall_multiple", 2.5)) {}
 
 Archive::Archive(Scene& scene, std::size_t number)
     : scene_(scene),
@@ -29,12 +29,12 @@
     return {id(), static_cast<kelplb::ZoneId>(number_ % 3), 0, phase_, born_, 1};
 }
 
-bool Archive::cold() const { return born_ > 0 && scene_.kernel.now() < born_ + settings_.warm_within; }
+bool Archive::cold() const { return born_ > 0 && scene_.kernel.now() < born_ + settings_.warmup_time; }
 
 double Archive::share() const {
     if (born_ == 0) return 1;
-    const double age = (scene_.kernel.now() - born_) / settings_.warm_within;
-    return settings_.cold_from + (1 - settings_.cold_from) * std::min(1.0, age);
+    const double age = (scene_.kernel.now() - born_) / settings_.warmup_time;
+    return settings_.cold_capacity + (1 - settings_.cold_capacity) * std::min(1.0, age);
 }
 
 void Archive::answer(const Job& job, Outcome outcome, Millis after) {
@@ -87,8 +87,8 @@
     up_ = false, frozen_ = false;
     ++life_;
     scene_.bus.tell(ServerTurned{id(), "crashes"});
-    for (const auto& [number, job] : running_) answer(job, Outcome::severed);
-    for (const auto& job : waiting_) answer(job, Outcome::severed);
+    for (const auto& [number, job] : running_) answer(job, Outcome::connection_lost);
+    for (const auto& job : waiting_) answer(job, Outcome::connection_lost);
     running_.clear(), waiting_.clear(), over_.clear();
     // Discovery notices later, unless it is back by then.
     const Millis notice = scene_.day.get("discovery.notice_ms", 1500);
--- a/src/sim/models/archive.hpp
+++ b/src/sim/models/archive.hpp
@@ -21,8 +21,8 @@
 struct ArchiveSettings {
     explicit ArchiveSettings(const Case& day);
     std::size_t servers, slots, queue;
-    Millis work, warm_within, fall_window;
-    double cold_from, fall_multiple;
+    Millis work, warmup_time, fall_window;
+    double cold_capacity, overload_multiple;
 };
 
 class Archive : public Part {
--- a/src/sim/models/forwarder.cpp
+++ b/src/sim/models/forwarder.cpp
@@ -37,17 +37,17 @@
         c.effect = effect;
         c.dedup_scope = kelplb::DedupScope::all;
         c.dedup_window = kDedup;
-        c.aim = aim;
+        c.latency_target = aim;
         return c;
     };
     s.classes = {kind(kelplb::Effect::repeatable), kind(kelplb::Effect::once), kind(kelplb::Effect::by_key)};
-    s.siblings = static_cast<std::uint32_t>(scene_.day.count("forwarders", 12));
-    s.my_number = static_cast<std::uint32_t>(number_);
+    s.sidecar_count = static_cast<std::uint32_t>(scene_.day.count("forwarders", 12));
+    s.sidecar_index = static_cast<std::uint32_t>(number_);
     s.max_attempts = 4;
-    s.cold_from = servers.cold_from;
-    s.warm_within = servers.warm_within;
-    s.fall_multiple = servers.fall_multiple;
-    s.may_tell = s.may_probe = peers_;
+    s.cold_capacity = servers.cold_capacity;
+    s.warmup_time = servers.warmup_time;
+    s.overload_multiple = servers.overload_multiple;
+    s.may_message_peers = s.may_probe = peers_;
     s.fees.peer = scene_.day.get("fees.peer", 0), s.fees.probe = scene_.day.get("fees.probe", 0);
     s.fees.handshake = scene_.day.get("fees.handshake", 0);
     return s;
@@ -143,12 +143,12 @@
     Archive* server = scene_.all<Archive>().at(a.server - 1);
     const Archive::Job job{this, life_, a.id, attempt, open.request, open.work, endpoint_};
     scene_.network.pass(endpoint_, server->endpoint(), [server, job] { server->receive(job); });
-    scene_.kernel.at(a.try_until, [this, id = a.id, attempt, life = life_] {
-        ended(life, id, attempt, Outcome::overdue);
+    scene_.kernel.at(a.attempt_deadline, [this, id = a.id, attempt, life = life_] {
+        ended(life, id, attempt, Outcome::timed_out);
     });
 }
 
-void Forwarder::carry_out(const kelplb::TellPeer& a) {
+void Forwarder::carry_out(const kelplb::SendToPeer& a) {
     const std::string bytes(a.bytes.begin(), a.bytes.end());
     std::size_t datagrams = 0;
     for (Forwarder* other : scene_.all<Forwarder>()) {
@@ -178,12 +178,12 @@
         if (!server->answers()) return;
         scene_.network.pass(server->endpoint(), endpoint_, [end] { end(Outcome::completed); });
     });
-    scene_.kernel.after(kProbePatience, [end] { end(Outcome::overdue); });
+    scene_.kernel.after(kProbePatience, [end] { end(Outcome::timed_out); });
 }
 
 void Forwarder::carry_out(const kelplb::Cancel& a) {
     scene_.kernel.after(0, [this, id = a.id, attempt = a.attempt, life = life_] {
-        ended(life, id, attempt, Outcome::recalled);
+        ended(life, id, attempt, Outcome::cancelled);
     });
 }
 
--- a/src/sim/models/forwarder.hpp
+++ b/src/sim/models/forwarder.hpp
@@ -48,9 +48,9 @@
     void carry_out(const kelplb::Send& a);
     void carry_out(const kelplb::Cancel& a);
     void carry_out(const kelplb::Refuse& a) { answer(a.id, End::refused, a.retry_in); }
-    void carry_out(const kelplb::GiveUp& a) { answer(a.id, End::failed, 0); }
+    void carry_out(const kelplb::Fail& a) { answer(a.id, End::failed, 0); }
     void carry_out(const kelplb::SetTimer& a);
-    void carry_out(const kelplb::TellPeer& a);
+    void carry_out(const kelplb::SendToPeer& a);
     void carry_out(const kelplb::Probe& a);
     void carry_out(const kelplb::CloseIdle& a) { idle_.erase(a.server); }
     template <class Other>
--- a/src/sim/models/planner.cpp
+++ b/src/sim/models/planner.cpp
@@ -40,9 +40,9 @@
     const ArchiveSettings servers(scene_.day);
     plan::PlannerSettings s;
     s.number = static_cast<std::uint32_t>(number_);
-    s.cold_from = servers.cold_from;
-    s.warm_within = servers.warm_within;
-    s.fall_multiple = servers.fall_multiple;
+    s.cold_capacity = servers.cold_capacity;
+    s.warmup_time = servers.warmup_time;
+    s.overload_multiple = servers.overload_multiple;
     s.subset = scene_.day.count("planner.subset", 0);
     core_ = std::make_unique<plan::Planner>(s, kept(), clock());
     keep();  // before anything is said under this epoch
--- a/src/site_io/plan_check.cpp
+++ b/src/site_io/plan_check.cpp
@@ -20,7 +20,7 @@
 
 // From the first step to all; a server that has started within it is warm by its own time at the earliest.
 Millis time_of_return(const PlanFile& plan) {
-    return std::max(Paced::least_time(plan.paced), plan.warm_within);
+    return std::max(Paced::least_time(plan.paced), plan.warmup_time);
 }
 
 std::string rate(double value) {
--- a/src/site_io/plan_file.cpp
+++ b/src/site_io/plan_file.cpp
@@ -130,7 +130,7 @@
         Section back = root.section("return");
         if (back.has("steps")) plan.paced.steps.clear(), back.numbers("steps", plan.paced.steps, 50);
         back.number("hold_ms", plan.paced.hold, 100, 3600000);
-        back.number("warm_within_ms", plan.warm_within, 0, 3600000);
+        back.number("warm_within_ms", plan.warmup_time, 0, 3600000);
         back.done();
         if (const std::string wrong = complaint(plan.paced); !wrong.empty())
             back.wrong("steps", "make no sense: " + wrong);
--- a/src/site_io/plan_file.hpp
+++ b/src/site_io/plan_file.hpp
@@ -13,7 +13,7 @@
 struct PlanFile {
     Fleet fleet;
     PacedSettings paced;
-    Millis warm_within = 0;  // of a server that has just started
+    Millis warmup_time = 0;  // of a server that has just started
 };
 
 // Throw SettingsError.
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -29,7 +29,7 @@
     message.fail(field, "is not a known word");
 }
 
-const Names<Phase> phases{{"on", Phase::on}, {"fading", Phase::fading}, {"off", Phase::off}};
+const Names<Phase> phases{{"on", Phase::on}, {"fading", Phase::draining}, {"off", Phase::off}};
 const Names<ListKind> list_kinds{{"INCREMENTAL", ListKind::incremental},
                                  {"FULL", ListKind::full},
                                  {"SAVED", ListKind::saved},
@@ -41,11 +41,11 @@
 const Names<Outcome> outcomes{{"completed", Outcome::completed},
                               {"errored", Outcome::errored},
                               {"saturated", Outcome::saturated},
-                              {"overdue", Outcome::overdue},
+                              {"overdue", Outcome::timed_out},
                               {"refused_conn", Outcome::refused_connection},
-                              {"severed", Outcome::severed},
-                              {"recalled", Outcome::recalled},
-                              {"superseded", Outcome::superseded}};
+                              {"severed", Outcome::connection_lost},
+                              {"recalled", Outcome::cancelled},
+                              {"superseded", Outcome::not_sent}};
 
 std::vector<std::string> split(std::string_view list) {
     std::vector<std::string> items;
@@ -162,24 +162,24 @@
         if (start.has(prefix + "dedup-scope"))
             c.dedup_scope = value_of(start, prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.aim = start.number(prefix + "on-time-ms");
-        c.aim_stretch = start.number_or(prefix + "aim-stretch", c.aim_stretch);
+        c.latency_target = start.number(prefix + "on-time-ms");
+        c.latency_target_stretch = start.number_or(prefix + "aim-stretch", c.latency_target_stretch);
         c.worth = start.number_or(prefix + "credit", c.worth);
         c.late_worth = start.number_or(prefix + "late-value", c.late_worth);
         s.classes.push_back(c);
         config.classes.emplace_back(start.text(prefix + "name"));
     }
-    if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
-    s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
+    if (start.has("membership-mode")) s.subscribe_to_list = start.text("membership-mode") == "on_request";
+    s.sidecar_count = static_cast<std::uint32_t>(start.integer_or("siblings", s.sidecar_count));
     s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.parallel_tries = start.flag_or("limits.parallel-tries", s.parallel_tries);
+    s.parallel_attempts = start.flag_or("limits.parallel-tries", s.parallel_attempts);
     s.may_cancel = start.flag_or("limits.may-cancel", false);
     s.may_probe = start.flag_or("limits.may-probe", false);
-    s.may_tell = start.flag_or("limits.may-tell", false);
-    s.my_number = static_cast<std::uint32_t>(start.integer_or("my-number", 0));
-    s.cold_from = start.number_or("rules.cold-from", s.cold_from);
-    s.fall_multiple = start.number_or("rules.fall-multiple", s.fall_multiple);
-    s.warm_within = start.number_or("rules.warm-within-ms", s.warm_within);
+    s.may_message_peers = start.flag_or("limits.may-tell", false);
+    s.sidecar_index = static_cast<std::uint32_t>(start.integer_or("my-number", 0));
+    s.cold_capacity = start.number_or("rules.cold-from", s.cold_capacity);
+    s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
+    s.warmup_time = start.number_or("rules.warm-within-ms", s.warmup_time);
     s.fees.cross_zone = start.number_or("fees.cross-zone", s.fees.cross_zone);
     s.fees.peer = start.number_or("fees.peer", s.fees.peer);
     s.fees.probe = start.number_or("fees.probe", s.fees.probe);
@@ -189,7 +189,7 @@
         config.tenants.emplace_back(start.text(prefix + "name"));
         s.tenants.push_back({start.number_or(prefix + "quota-per-s", 0)});
     }
-    s.over_share_worth = start.number_or("over-share-worth", s.over_share_worth);
+    s.over_quota_worth = start.number_or("over-share-worth", s.over_quota_worth);
     return config;
 }
 
@@ -467,7 +467,7 @@
     std::visit(Overloaded{[&](const Send& a) {
                               request("DISPATCH", a.id);
                               server(a.server);
-                              time(" try-until-ms", a.try_until);
+                              time(" try-until-ms", a.attempt_deadline);
                               ++instance.requests.at(a.id).outstanding;
                               ++instance.servers.at(a.server).outstanding;
                           },
@@ -480,7 +480,7 @@
                               if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
                               instance.end_request(a.id);
                           },
-                          [&](const GiveUp& a) {
+                          [&](const Fail& a) {
                               request("GIVE_UP", a.id);
                               instance.end_request(a.id);
                           },
@@ -491,7 +491,7 @@
                           },
                           [&](const Probe& a) { head("ASK_LOAD"), server(a.server); },
                           [&](const CloseIdle& a) { head("SHUT_IDLE"), server(a.server); },
-                          [&](const TellPeer& a) {
+                          [&](const SendToPeer& a) {
                               head("WRITE_PEER");
                               reply_ +=
                                   " dst=" + (a.to ? std::to_string(*a.to) : std::string("all")) + " msg=";
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -99,7 +99,7 @@
 
 TEST(OutlierEjection, CertainFailureNeedsNoFullWindow) {
     Rig rig = make_pool(4);
-    const int sent_to_bad = run_requests(rig, 200, {1}, Outcome::severed);
+    const int sent_to_bad = run_requests(rig, 200, {1}, Outcome::connection_lost);
     EXPECT_EQ(rig.removals(), 1);
     EXPECT_EQ(sent_to_bad, 3) << "with three failures a window of 20 is below 0.9, whatever follows";
 }
@@ -160,7 +160,7 @@
     const RequestId id = start_trial(rig);
     rig.requests.at(id).gone = true;
     rig.deliver(ClientGone{id});
-    rig.end(id, Outcome::recalled, 1);
+    rig.end(id, Outcome::cancelled, 1);
     EXPECT_GT(run_requests(rig, 200, {1}, Outcome::completed), 0) << "the trial is still due";
 }
 
@@ -260,7 +260,7 @@
         EXPECT_LE(retry_delay, 600);
     }
     Rig empty = make_pool(1);
-    empty.apply_list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    empty.apply_list(ListKind::incremental, {{1, 0, 0, Phase::draining, 0}});
     empty.request();
     empty.advance(100);
     EXPECT_EQ(empty.retry_delays, std::vector<Millis>{10000});
@@ -271,25 +271,25 @@
 // clients wait for 30 ms.
 TEST(Admission, EarlyClientTimeoutsDoNotCountAgainstServers) {
     Settings settings = make_settings();
-    settings.siblings = 300, settings.may_tell = settings.may_probe = true;
+    settings.sidecar_count = 300, settings.may_message_peers = settings.may_probe = true;
     Rig rig(settings);
     rig.apply_list(ListKind::full, make_servers(40));
     int gossiped = 0, probes = 0;  // messages to single peers: gossip of failures
     const auto count_gossiped = [&] {
         for (const Action& a : rig.last_actions)
-            if (const auto* tell = std::get_if<TellPeer>(&a)) gossiped += tell->to.has_value();
+            if (const auto* tell = std::get_if<SendToPeer>(&a)) gossiped += tell->to.has_value();
     };
     for (int i = 0; i < 1000; ++i) {
         const RequestId id = rig.request(0, i % 5 == 4 && i > 50 ? 30 : 1000);
         count_gossiped();
         probes += rig.count<Probe>();
         ASSERT_TRUE(rig.outstanding(id)) << "request " << i << " is refused";
-        rig.end(id, i % 5 == 4 && i > 50 ? Outcome::overdue : Outcome::completed,
+        rig.end(id, i % 5 == 4 && i > 50 ? Outcome::timed_out : Outcome::completed,
                 i % 5 == 4 && i > 50 ? 30 : 100);
         count_gossiped();
     }
-    EXPECT_LT(rig.balancer.tally().crowding, 0.3);
-    EXPECT_GT(rig.balancer.tally().timely, 0.99);
+    EXPECT_LT(rig.balancer.tally().latency_ratio, 0.3);
+    EXPECT_GT(rig.balancer.tally().on_time_share, 0.99);
     EXPECT_EQ(rig.removals(), 0);
     EXPECT_EQ(probes, 0);
     EXPECT_EQ(gossiped, 0);
@@ -304,7 +304,7 @@
         const RequestId id = rig.request(0, 100);
         const bool stalled = rig.server_of(id) == 2;
         sent_to_stalled += stalled;
-        rig.end(id, stalled ? Outcome::overdue : Outcome::completed, stalled ? 100 : 10);
+        rig.end(id, stalled ? Outcome::timed_out : Outcome::completed, stalled ? 100 : 10);
     }
     EXPECT_LT(sent_to_stalled, 8) << "an even share of 100 requests is 25";
 }
@@ -318,7 +318,7 @@
 TEST(List, SubscribesAtTheStartWhereConfigured) {
     for (const bool on_request : {false, true}) {
         Settings s = make_settings();
-        s.list_on_request = on_request;
+        s.subscribe_to_list = on_request;
         Rig rig(s);
         rig.deliver(Started{});
         EXPECT_EQ(rig.count<Subscribe>(), on_request ? 1 : 0);
@@ -329,7 +329,7 @@
     std::set<Millis> waits;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Settings s = make_settings();
-        s.list_on_request = true;
+        s.subscribe_to_list = true;
         Rig rig(s, seed);
         rig.deliver(Started{});
         Millis last_wait = 0, total = 0;
@@ -384,16 +384,17 @@
         EXPECT_NE(error_for(change).find(name), std::string::npos) << error_for(change);
     };
     expect_named([](Settings& s) { s.classes.clear(); }, "classes");
-    expect_named([](Settings& s) { s.classes[0].aim = 0; }, "classes[0].aim");
-    expect_named([](Settings& s) { s.classes[0].aim = NAN; }, "classes[0].aim");
+    expect_named([](Settings& s) { s.classes[0].latency_target = 0; }, "classes[0].aim");
+    expect_named([](Settings& s) { s.classes[0].latency_target = NAN; }, "classes[0].aim");
     expect_named([](Settings& s) { s.classes[0].worth = -1; }, "classes[0].worth");
     expect_named([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    expect_named([](Settings& s) { s.classes[0].aim_stretch = INFINITY; }, "classes[0].aim_stretch");
-    expect_named([](Settings& s) { s.siblings = 0; }, "siblings");
+    expect_named([](Settings& s) { s.classes[0].latency_target_stretch = INFINITY; },
+                 "classes[0].aim_stretch");
+    expect_named([](Settings& s) { s.sidecar_count = 0; }, "siblings");
     expect_named([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    expect_named([](Settings& s) { s.warm_within = -1; }, "warm_within");
-    expect_named([](Settings& s) { s.fall_multiple = 0.5; }, "fall_multiple");
-    expect_named([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
+    expect_named([](Settings& s) { s.warmup_time = -1; }, "warm_within");
+    expect_named([](Settings& s) { s.overload_multiple = 0.5; }, "fall_multiple");
+    expect_named([](Settings& s) { s.cold_capacity = 1.5; }, "cold_from");
     expect_named([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
     EXPECT_EQ(error_for([](Settings&) {}), "accepted");
 }
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -10,7 +10,7 @@
     Settings settings;
     RequestClass read;
     read.effect = Effect::repeatable;
-    read.aim = 200;
+    read.latency_target = 200;
     settings.classes = {read};
     Balancer balancer(settings, /*seed=*/42);
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -13,7 +13,7 @@
     double cold = 0, others = 0;
     for (std::uint32_t n = 0; n < sidecars; ++n) {
         Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = sidecars;
+        s.sidecar_count = sidecars;
         Rig rig(s, n + 1);
         rig.apply_list(ListKind::full, make_servers(warm));
         rig.apply_list(ListKind::incremental, {{warm + 1, 0, 0, Phase::on, rig.now - age}});
@@ -41,7 +41,7 @@
     int to_new = 0, all = 0;
     for (std::uint64_t n = 1; n <= 100; ++n) {
         Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = 100;
+        s.sidecar_count = 100;
         Rig rig(s, n);
         rig.apply_list(ListKind::full, make_servers(16));
         for (int i = 0; i < 40; ++i) rig.end(rig.request(), Outcome::completed, 60);
@@ -86,7 +86,7 @@
     int failed = 0;
     for (std::uint64_t n = 1; n <= 100; ++n) {
         Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = 100;
+        s.sidecar_count = 100;
         Rig rig(s, n);
         rig.apply_list(ListKind::full, make_servers(20));
         for (int i = 0; i < 60; ++i) {
@@ -240,7 +240,7 @@
         for (const Action& a : std::vector<Action>(rig.last_actions))
             if (const auto* probe = std::get_if<Probe>(&a))
                 if (!rig.outstanding(id)) rig.deliver(ProbeEnded{probe->server, Outcome::completed, 1});
-        if (rig.outstanding(id)) rig.end(id, i < 10 ? Outcome::completed : Outcome::severed, 10);
+        if (rig.outstanding(id)) rig.end(id, i < 10 ? Outcome::completed : Outcome::connection_lost, 10);
     }
     rig.advance(700);
     return rig;
@@ -279,7 +279,7 @@
     Rig rig = after_late_answers();
     const RequestId id = rig.request();
     for (int round = 0; round < 5 && !rig.outstanding(id); ++round)
-        for (const ServerId s : probed_servers(rig)) rig.deliver(ProbeEnded{s, Outcome::overdue, 100});
+        for (const ServerId s : probed_servers(rig)) rig.deliver(ProbeEnded{s, Outcome::timed_out, 100});
     EXPECT_TRUE(rig.outstanding(id));
     rig.end(id, Outcome::completed);
 }
@@ -322,7 +322,7 @@
             rig.advance(gap);
             const RequestId id = rig.request();
             EXPECT_TRUE(probed_servers(rig).empty());
-            rig.end(id, gap < 10 && i % 10 == 0 ? Outcome::severed : Outcome::completed, 1);
+            rig.end(id, gap < 10 && i % 10 == 0 ? Outcome::connection_lost : Outcome::completed, 1);
         }
     }
 }
@@ -334,7 +334,7 @@
         const RequestId id = rig.request();
         for (const ServerId s : probed_servers(rig))
             if (!rig.outstanding(id)) rig.deliver(ProbeEnded{s, Outcome::completed, 1});
-        if (rig.outstanding(id)) rig.end(id, Outcome::severed, 10);
+        if (rig.outstanding(id)) rig.end(id, Outcome::connection_lost, 10);
     }
     rig.advance(700);
     rig.request();
@@ -346,7 +346,7 @@
     const RequestId id = rig.request();
     const auto probed = probed_servers(rig);
     ASSERT_EQ(probed.size(), 2U);
-    rig.apply_list(ListKind::incremental, {{probed[0], 0, 0, Phase::fading, 0}});
+    rig.apply_list(ListKind::incremental, {{probed[0], 0, 0, Phase::draining, 0}});
     rig.deliver(ProbeEnded{probed[0], Outcome::completed, 2});
     EXPECT_FALSE(rig.outstanding(id));
     rig.deliver(ProbeEnded{probed[1], Outcome::completed, 3});
@@ -363,12 +363,12 @@
 // ---- Gossip ---------------------------------------------------------------------------------------------
 
 // A low-traffic sidecar among 160 whose requests end with `outcome`; returns its messages and their peers.
-std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> messages_sent(bool may_tell,
+std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> messages_sent(bool may_message_peers,
                                                                                Outcome outcome) {
     Settings s = make_settings({make_class(Effect::once)});
-    s.may_tell = may_tell;
-    s.siblings = 160;
-    s.my_number = 7;
+    s.may_message_peers = may_message_peers;
+    s.sidecar_count = 160;
+    s.sidecar_index = 7;
     Rig rig(s);
     rig.apply_list(ListKind::full, make_servers(20));
     std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> messages;
@@ -378,14 +378,14 @@
         if (!rig.outstanding(id)) continue;
         rig.end(id, outcome, 10);
         for (const Action& a : rig.last_actions)
-            if (const auto* tell = std::get_if<TellPeer>(&a))
+            if (const auto* tell = std::get_if<SendToPeer>(&a))
                 messages.emplace_back(tell->to.value(), tell->bytes);
     }
     return messages;
 }
 
 TEST(Gossip, FailuresAreSentToAFewPeersAndSuccessesToNone) {
-    const auto failed = messages_sent(true, Outcome::severed);
+    const auto failed = messages_sent(true, Outcome::connection_lost);
     EXPECT_GT(failed.size(), 20U);
     EXPECT_LT(failed.size(), 30U * 160 / 8);
     for (const auto& [peer, bytes] : failed) {
@@ -394,22 +394,22 @@
         EXPECT_EQ(bytes.size(), 4U);
     }
     EXPECT_TRUE(messages_sent(true, Outcome::completed).empty());
-    EXPECT_TRUE(messages_sent(false, Outcome::severed).empty()) << "it is not permitted";
+    EXPECT_TRUE(messages_sent(false, Outcome::connection_lost).empty()) << "it is not permitted";
 }
 
 // The price that one of a hundred sidecars pays for reports to the others, as a share of the result; its
 // answers take so long, with a latency target of 400 ms.
 double report_cost(Millis latency, double fee) {
     Settings s = make_settings({make_class(Effect::once)});
-    s.may_tell = true;
-    s.siblings = 100;
+    s.may_message_peers = true;
+    s.sidecar_count = 100;
     s.fees.peer = fee;
     Rig rig(s);
     rig.apply_list(ListKind::full, make_servers(60));
     double bytes = 0;
     const auto count_bytes = [&] {
         for (const Action& a : rig.last_actions)
-            if (const auto* tell = std::get_if<TellPeer>(&a))
+            if (const auto* tell = std::get_if<SendToPeer>(&a))
                 bytes += static_cast<double>(tell->bytes.size());
     };
     int requests = 0;
@@ -438,8 +438,8 @@
 // How many of 400 requests of a low-traffic sidecar go to server 4 of 20 while eight peers send `bytes`.
 int requests_to_server_4(const std::vector<std::uint8_t>& bytes) {
     Settings s = make_settings({make_class(Effect::once)});
-    s.may_tell = true;
-    s.siblings = 100;
+    s.may_message_peers = true;
+    s.sidecar_count = 100;
     int received = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Rig rig(s, seed);
@@ -470,8 +470,8 @@
 
 TEST(Reports, FailureIsReported) {
     Settings s = make_settings({make_class(Effect::repeatable)});
-    s.may_tell = true;
-    s.siblings = 100;
+    s.may_message_peers = true;
+    s.sidecar_count = 100;
     Rig rig(s);
     rig.apply_list(ListKind::full, make_servers(20));
     for (int i = 0; i < 40; ++i) rig.advance(50), rig.end(rig.request(), Outcome::completed, 100);
@@ -483,7 +483,7 @@
     const RequestId next = rig.request();
     bool reported = false;
     for (const Action& a : rig.last_actions)
-        if (const auto* tell = std::get_if<TellPeer>(&a); tell && !tell->to)
+        if (const auto* tell = std::get_if<SendToPeer>(&a); tell && !tell->to)
             for (std::size_t i = 1; i + 1 < tell->bytes.size(); i += tell->bytes[0] == 0xF2 ? 2 : 3)
                 reported |= tell->bytes[i] == 0xFF && tell->bytes[i + 1] == static_cast<std::uint8_t>(~bad);
     EXPECT_TRUE(reported);
@@ -533,7 +533,7 @@
     int sent = 0, requests = 0;
     for (std::uint64_t n = 1; n <= 200; ++n) {
         Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = 1000;
+        s.sidecar_count = 1000;
         Rig rig(s, n);
         rig.apply_list(ListKind::full, make_servers(20));
         for (int i = 0; i < 40; ++i) {
--- a/tests/guidance_test.cpp
+++ b/tests/guidance_test.cpp
@@ -18,9 +18,10 @@
             [&](const auto& a) {
                 using A = std::decay_t<decltype(a)>;
                 out << typeid(A).name() << ' ';
-                if constexpr (std::is_same_v<A, Send>) out << a.id << ' ' << a.server << ' ' << a.try_until;
+                if constexpr (std::is_same_v<A, Send>)
+                    out << a.id << ' ' << a.server << ' ' << a.attempt_deadline;
                 if constexpr (std::is_same_v<A, Refuse>) out << a.id << ' ' << a.retry_in;
-                if constexpr (std::is_same_v<A, GiveUp>) out << a.id;
+                if constexpr (std::is_same_v<A, Fail>) out << a.id;
                 if constexpr (std::is_same_v<A, Cancel>) out << a.id << ' ' << a.attempt;
                 if constexpr (std::is_same_v<A, SetTimer>) out << a.at << ' ' << a.token;
                 if constexpr (std::is_same_v<A, Log>) out << a.text;
@@ -199,15 +200,15 @@
     rig.deliver(Guidance{rig.now + 1e6, {outside(1), outside(2)}});
     const Counts counts = send_requests(rig, 100);
     EXPECT_EQ(counts.sends.count(1) + counts.sends.count(2), 0U);
-    rig.apply_list(ListKind::incremental, {{3, 0, 1, Phase::fading, 0}, {4, 1, 0, Phase::fading, 0}});
+    rig.apply_list(ListKind::incremental, {{3, 0, 1, Phase::draining, 0}, {4, 1, 0, Phase::draining, 0}});
     EXPECT_EQ(send_requests(rig, 100).all, 100);
 }
 
 TEST(Guidance, GrantedRateIsBoundedAndHoldsForOneProcess) {
     const auto cold = [](double rate, Millis start_offset) {
         Settings s = make_settings();
-        s.cold_from = 0.2;
-        s.warm_within = 1e9;  // the server stays cold, at a fifth of its capacity
+        s.cold_capacity = 0.2;
+        s.warmup_time = 1e9;  // the server stays cold, at a fifth of its capacity
         Rig rig(s);
         rig.apply_list(ListKind::full, make_servers(2));
         const Millis born = rig.now;
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -247,7 +247,7 @@
 TEST_CASE(
     "hop: a request that was sent and not answered is not refused, and sent again only if it may run "
     "twice") {
-    for (const Outcome outcome : {Outcome::severed, Outcome::overdue, Outcome::recalled})
+    for (const Outcome outcome : {Outcome::connection_lost, Outcome::timed_out, Outcome::cancelled})
         for (const char* hop : {"r;0;500;3;0;1", "p;0;500;3;0;1"}) {
             CAPTURE(std::string(hop));
             CAPTURE(static_cast<int>(outcome));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -109,7 +109,7 @@
     EXPECT_EQ(read.tenants, (std::vector<std::string>{"acme", "other"}));
     EXPECT_EQ(read.settings.tenants.at(0).quota_per_s, 12.5);
     EXPECT_EQ(read.settings.tenants.at(1).quota_per_s, 0);
-    EXPECT_EQ(read.settings.over_share_worth, 0.2);
+    EXPECT_EQ(read.settings.over_quota_worth, 0.2);
     EXPECT_EQ(read.settings.fees.peer, 0.01);
     EXPECT_EQ(read.settings.classes.at(0).late_worth, 0.5);
     const auto error_of = [&](const char* path, json value) {
@@ -508,7 +508,7 @@
     UpstreamFixture fixture({60000, 15000, 1, 0});
     fixture.send(1, silent.at());
     fixture.send(2, silent.at());
-    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
     EXPECT_EQ(fixture.upstream.open(), 1u);
 }
 
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -138,8 +138,8 @@
     meter.sent(1), meter.sent(2);
     meter.listed({{1, 0, 0, Phase::on, 77, 1}, {2, 0, 0, Phase::off, 0, 1}}, false);
     EXPECT_EQ(meter.servers(), 2U);
-    meter.ended(1, Outcome::severed, 5, false);  // sent to the former incarnation
-    meter.ended(2, Outcome::severed, 5, false);
+    meter.ended(1, Outcome::connection_lost, 5, false);  // sent to the former incarnation
+    meter.ended(2, Outcome::connection_lost, 5, false);
     EXPECT_EQ(meter.servers(), 1U);
     const Report report = meter.report(0, {});
     ASSERT_EQ(report.servers.size(), 1U);
@@ -451,7 +451,7 @@
     EXPECT_FALSE(is_news(Outcome::completed, false, false));
     EXPECT_FALSE(is_news(Outcome::errored, false, true)) << "the server is removed already";
     EXPECT_TRUE(is_news(Outcome::completed, false, true)) << "a successful trial";
-    EXPECT_FALSE(is_news(Outcome::recalled, true, false));
+    EXPECT_FALSE(is_news(Outcome::cancelled, true, false));
 }
 
 TEST(Planner, AssignsATrialToOneForwarderAndReassignsItAfterATimeout) {
@@ -517,7 +517,7 @@
 
 TEST(Planner, GrantsFollowDemandAndUnexpiredOnesNeverExceedTheSlice) {
     PlannerSettings s;
-    s.cold_from = 0.2, s.warm_within = 60000, s.fall_multiple = 2.5;
+    s.cold_capacity = 0.2, s.warmup_time = 60000, s.overload_multiple = 2.5;
     PlannerFixture fixture(s);
     for (int i = 0; i < 8; ++i) {
         for (int n = 0; n < 9; ++n)
@@ -551,7 +551,7 @@
 
 TEST(Planner, GrantsNothingUntilTheGrantsOfItsFormerInstanceHaveExpired) {
     PlannerSettings s;
-    s.cold_from = 0.2, s.warm_within = 60000, s.fall_multiple = 2.5;
+    s.cold_capacity = 0.2, s.warmup_time = 60000, s.overload_multiple = 2.5;
     Planner planner(s, {4, 9}, 1000);
     EXPECT_GT(planner.id(), (PlanId{4, 9}));
     auto list = infos(10);
--- a/tests/rig.hpp
+++ b/tests/rig.hpp
@@ -19,7 +19,7 @@
     c.effect = effect;
     c.dedup_scope = scope;
     c.dedup_window = window;
-    c.aim = 400;
+    c.latency_target = 400;
     return c;
 }
 
@@ -27,8 +27,8 @@
     Settings s;
     s.classes = std::move(classes);
     s.max_attempts = 4;
-    s.cold_from = 0.2;
-    s.warm_within = 20000;
+    s.cold_capacity = 0.2;
+    s.warmup_time = 20000;
     return s;
 }
 
@@ -120,7 +120,7 @@
         Attempt& s = r.sent.at(attempt);
         s.outstanding = false;
         s.may_have_run = outcome != Outcome::saturated && outcome != Outcome::refused_connection &&
-                         outcome != Outcome::superseded;
+                         outcome != Outcome::not_sent;
         if (outcome == Outcome::completed && !answered(r)) ++r.answers;
         AttemptEnded e{id, attempt, outcome, now - s.at, answered(r)};
         deliver(e);
@@ -141,7 +141,7 @@
                     }
             now = std::max(now, next);
             if (late.first) {
-                end_attempt(late.first, late.second, Outcome::overdue);
+                end_attempt(late.first, late.second, Outcome::timed_out);
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
@@ -182,7 +182,7 @@
             retry_delays.push_back(refuse->retry_in);
             check_answer(r);
         }
-        if (const auto* failed = std::get_if<GiveUp>(&action)) check_answer(requests.at(failed->id));
+        if (const auto* failed = std::get_if<Fail>(&action)) check_answer(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
         if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
     }
@@ -202,7 +202,7 @@
         const Attempt* first = nullptr;
         for (const Attempt& s : r.sent) {
             if (s.outstanding) {
-                EXPECT_TRUE(settings.parallel_tries) << "two attempts outstanding";
+                EXPECT_TRUE(settings.parallel_attempts) << "two attempts outstanding";
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
@@ -219,7 +219,8 @@
         if (first && r.kind.effect == Effect::by_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
         }
-        r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
+        r.sent.push_back(
+            {send.server, now, send.attempt_deadline > 0 ? send.attempt_deadline : r.deadline, true, true});
     }
 
     // Runs until everything has timed out: each request must then have its answer and be erased.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -22,9 +22,9 @@
                                 make_class(Effect::by_key, DedupScope::all, 700),
                                 make_class(Effect::by_key, DedupScope::zone, 700),
                                 make_class(Effect::by_key, DedupScope::cell, 700)});
-    s.parallel_tries = parallel;
-    s.may_probe = s.may_tell = true;
-    s.siblings = 100;
+    s.parallel_attempts = parallel;
+    s.may_probe = s.may_message_peers = true;
+    s.sidecar_count = 100;
     return s;
 }
 
@@ -35,16 +35,17 @@
             if (r.sent[i].outstanding) out.emplace_back(id, i);
     if (out.empty()) return;
     const auto [id, attempt] = out[random.below(static_cast<std::uint32_t>(out.size()))];
-    static const Outcome outcomes[] = {Outcome::completed, Outcome::completed,          Outcome::completed,
-                                       Outcome::errored,   Outcome::saturated,          Outcome::overdue,
-                                       Outcome::severed,   Outcome::refused_connection, Outcome::superseded};
+    static const Outcome outcomes[] = {
+        Outcome::completed,       Outcome::completed,          Outcome::completed,
+        Outcome::errored,         Outcome::saturated,          Outcome::timed_out,
+        Outcome::connection_lost, Outcome::refused_connection, Outcome::not_sent};
     const bool closed = rig.answered(rig.requests.at(id));
-    rig.end_attempt(id, attempt, closed ? Outcome::recalled : outcomes[random.below(9)]);
+    rig.end_attempt(id, attempt, closed ? Outcome::cancelled : outcomes[random.below(9)]);
 }
 
 void change_list(Rig& rig, TestRandom& random) {
     const ServerId id = 1 + random.below(10);
-    const Phase phases[] = {Phase::on, Phase::on, Phase::fading, Phase::off};
+    const Phase phases[] = {Phase::on, Phase::on, Phase::draining, Phase::off};
     const Millis since = random.below(2) ? rig.now - random.below(5000) : 0;
     if (random.below(5)) {
         rig.apply_list(ListKind::incremental, {{id, id % 3, id % 2, phases[random.below(4)], since}});
@@ -75,7 +76,7 @@
                 rig.deliver(ClientGone{at->first});
             }
         } else if (step < 92) {  // arbitrary probe results and peer messages
-            const Outcome said[] = {Outcome::completed, Outcome::overdue, Outcome::saturated};
+            const Outcome said[] = {Outcome::completed, Outcome::timed_out, Outcome::saturated};
             for (ServerId s = 1; s <= 10; ++s)
                 if (random.below(2))
                     rig.deliver(ProbeEnded{s, said[random.below(3)], Millis(random.below(100))});
@@ -143,7 +144,7 @@
 }
 
 TEST(Rule2, OnceIsNeitherResentNorRefusedAfterAPossibleRun) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::overdue, Outcome::severed}) {
+    for (const Outcome outcome : {Outcome::errored, Outcome::timed_out, Outcome::connection_lost}) {
         Rig rig = make_pool(make_class(Effect::once));
         const RequestId id = rig.request();
         rig.end(id, outcome);
@@ -162,7 +163,7 @@
 }
 
 TEST(Rule2, RepeatableIsResentAfterAnyFailure) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::severed, Outcome::saturated}) {
+    for (const Outcome outcome : {Outcome::errored, Outcome::connection_lost, Outcome::saturated}) {
         Rig rig = make_pool(make_class(Effect::repeatable));
         const RequestId id = rig.request();
         rig.end(id, outcome);
@@ -176,7 +177,7 @@
     for (int i = 0; i < 30; ++i) {
         const RequestId id = rig.request();
         const ServerId first = rig.server_of(id);
-        rig.end(id, i % 2 ? Outcome::errored : Outcome::severed, i % 3 ? 10 : 400);
+        rig.end(id, i % 2 ? Outcome::errored : Outcome::connection_lost, i % 3 ? 10 : 400);
         if (i % 3) {
             EXPECT_EQ(rig.server_of(id) % 3, first % 3);
         } else {
@@ -200,7 +201,7 @@
 
 TEST(Rule3, NothingIsSentToADrainingServer) {
     Rig rig = make_pool(make_class(Effect::repeatable));
-    rig.apply_list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    rig.apply_list(ListKind::incremental, {{1, 0, 0, Phase::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request();
         EXPECT_NE(rig.server_of(id), 1U);
--- a/tests/shares_test.cpp
+++ b/tests/shares_test.cpp
@@ -306,9 +306,9 @@
 
 // In a pool in which every answer takes `took`: how many of 60 simultaneous requests are sent, by whether
 // their tenant is beyond its quota.
-int count_sent(Millis took, bool over_quota, double over_share_worth = 0.2) {
+int count_sent(Millis took, bool over_quota, double over_quota_worth = 0.2) {
     Settings s = by_key_settings(DedupScope::cell);
-    s.over_share_worth = over_share_worth;
+    s.over_quota_worth = over_quota_worth;
     s.tenants = {{over_quota ? 0.001 : 0}};
     Rig rig(s);
     rig.apply_list(ListKind::full, make_servers(4));
@@ -343,7 +343,7 @@
 
 TEST(ExpectedLatency, OutstandingElsewhereCountsLikeOwn) {
     Settings s = by_key_settings(DedupScope::cell);
-    s.may_tell = true, s.siblings = 2;
+    s.may_message_peers = true, s.sidecar_count = 2;
     Rig rig(s);
     rig.apply_list(ListKind::full, make_servers(4));
     for (int i = 0; i < 80; ++i) {
@@ -437,7 +437,7 @@
 TEST(Reports, CostIsBoundedWhateverThePriceOfAMessage) {
     for (const double fee : {0.0, 0.01, 1.0}) {
         Settings s = by_key_settings(DedupScope::all);
-        s.may_tell = true, s.siblings = 4, s.fees.peer = fee;
+        s.may_message_peers = true, s.sidecar_count = 4, s.fees.peer = fee;
         Rig rig(s);
         rig.apply_list(ListKind::full, make_servers(8));
         rig.burst(8, 100000);  // stay outstanding: there is always something to report
@@ -445,11 +445,11 @@
         for (int i = 0; i < 1000; ++i) {
             const RequestId id = rig.request();
             for (const Action& a : rig.last_actions)
-                if (const auto* report = std::get_if<TellPeer>(&a); report && !report->to)
+                if (const auto* report = std::get_if<SendToPeer>(&a); report && !report->to)
                     bytes += 3.0 * static_cast<double>(report->bytes.size());
             if (rig.outstanding(id)) rig.end(id, Outcome::completed, 10);
             for (const Action& a : rig.last_actions)
-                if (const auto* report = std::get_if<TellPeer>(&a); report && !report->to)
+                if (const auto* report = std::get_if<SendToPeer>(&a); report && !report->to)
                     bytes += 3.0 * static_cast<double>(report->bytes.size());
         }
         EXPECT_GT(bytes, 0) << fee;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -304,7 +304,7 @@
          [](Scene& s) {
              ask(s, Kind::safe);
              s.bus.tell(Told{0, {{1, 0, 0, Phase::on, 0, 1}}, true});
-             s.bus.tell(Told{0, {{1, 0, 0, Phase::fading, 0, 1}}, false});
+             s.bus.tell(Told{0, {{1, 0, 0, Phase::draining, 0, 1}}, false});
              s.bus.tell(Sent{0, 0, 1, 0});
              s.bus.tell(Answered{0, 0, End::in_time});
          }},
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -146,11 +146,11 @@
         read_start(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(config.settings.classes.size(), 2U);
     EXPECT_EQ(config.settings.classes[1].effect, Effect::once);
-    EXPECT_EQ(config.settings.classes[0].aim, 400);
+    EXPECT_EQ(config.settings.classes[0].latency_target, 400);
     EXPECT_EQ(config.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(config.settings.cold_from, 0.16);
+    EXPECT_EQ(config.settings.cold_capacity, 0.16);
     EXPECT_EQ(config.settings.fees.cross_zone, 0.02);
-    EXPECT_FALSE(config.settings.list_on_request);
+    EXPECT_FALSE(config.settings.subscribe_to_list);
     EXPECT_EQ(config.classes[1], "deposit");
 }
 
@@ -176,10 +176,10 @@
     const std::string with_tell = line + "limits.may-tell=true";
     const StartConfig config = read_start(Message(with_tell, 1));
     EXPECT_TRUE(config.settings.may_probe);
-    EXPECT_TRUE(config.settings.may_tell);
-    EXPECT_EQ(config.settings.my_number, 4U);
-    EXPECT_EQ(config.settings.siblings, 9U);
-    EXPECT_FALSE(read_start(Message(line, 1)).settings.may_tell) << "not permitted by default";
+    EXPECT_TRUE(config.settings.may_message_peers);
+    EXPECT_EQ(config.settings.sidecar_index, 4U);
+    EXPECT_EQ(config.settings.sidecar_count, 9U);
+    EXPECT_FALSE(read_start(Message(line, 1)).settings.may_message_peers) << "not permitted by default";
 }
 
 }  // namespace
