--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -9,9 +9,10 @@
 constexpr std::size_t kEntryOverheadBytes = 32, kMaxForwardedMessages = 16;
 }  // namespace
 
-raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders) {
-    raft::Stored stored;
-    stored.fleet = fleet;
+raft::PersistentState bootstrap(std::uint64_t cluster_id, std::uint32_t own,
+                                const std::vector<std::uint32_t>& founders) {
+    raft::PersistentState stored;
+    stored.cluster_id = cluster_id;
     stored.id = own + 1ULL;
     for (const std::uint32_t ip : founders) stored.snapshot.members.push_back({ip + 1ULL, ip, true});
     std::sort(stored.snapshot.members.begin(), stored.snapshot.members.end(),
@@ -24,7 +25,7 @@
     switch (reply.kind) {
         case Reply::Kind::config:
             return {Kind::current, reply.current->edition, 0};
-        case Reply::Kind::nothing_yet:
+        case Reply::Kind::no_config:
             return {Kind::current, 0, 0};
         case Reply::Kind::elsewhere:
             return {Kind::elsewhere, 0, reply.leader};
@@ -33,19 +34,21 @@
     }
 }
 
-Replica::Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw)
+Replica::Replica(const ReplicaSettings& settings, raft::PersistentState stored, Millis now,
+                 std::uint64_t nonce)
     : settings_(settings),
-      raft_(settings.agree, std::move(stored), now, draw),
-      lost_at_(now + settings.lost_after) {
+      raft_(settings.consensus, std::move(stored), now, nonce),
+      membership_query_due_(now + settings.leaderless_after) {
     if (!raft_.snapshot().data.empty() && !state_machine_.load(raft_.snapshot().data))
-        throw raft::Broken("the stored snapshot can't be decoded as a configuration state machine");
+        throw raft::ProtocolViolation(
+            "the stored snapshot can't be decoded as a configuration state machine");
     applied_ = raft_.snapshot().index;
 }
 
 // ---- Time and messages -----------------------------------------------------------------------------------
 
 Millis Replica::due() const {
-    Millis due = std::min(raft_.due(), lost_at_);
+    Millis due = std::min(raft_.due(), membership_query_due_);
     for (const Waiting& one : waiting_) due = std::min(due, one.until);
     return due;
 }
@@ -55,17 +58,17 @@
     if (raft_.leads()) remove_silent_member(now);
     // Without a leader for long, this member may have been removed while it was partitioned, or the leader
     // may be a node whose address it doesn't know. It asks all known nodes with a prevote request that has no
-    // receiver id; the leader replies `gone` if it is no member.
+    // receiver id; the leader replies `not_a_member` if it is no member.
     if (raft_.role() == raft::RaftNode::Role::leader) {
-        lost_at_ = now + settings_.lost_after;
-    } else if (now >= lost_at_) {
-        lost_at_ = now + kMembershipQueryIntervalMs;
+        membership_query_due_ = now + settings_.leaderless_after;
+    } else if (now >= membership_query_due_) {
+        membership_query_due_ = now + kMembershipQueryIntervalMs;
         if (!raft_.retired() && !raft_.members().empty()) {
             raft::Message query;
-            query.kind = raft::Message::Kind::ask_prevote;
-            query.fleet = settings_.agree.fleet;
+            query.kind = raft::Message::Kind::request_prevote;
+            query.cluster_id = settings_.consensus.cluster_id;
             query.from = raft_.id();
-            query.number = settings_.agree.number;
+            query.number = settings_.consensus.number;
             query.run = raft_.run();
             query.term = raft_.term() + 1;
             query.last = raft_.last();
@@ -78,8 +81,8 @@
 void Replica::on_message(Millis now, const raft::Message& message, bool forwarded) {
     using Kind = raft::Message::Kind;
     const bool leads = raft_.role() == raft::RaftNode::Role::leader;
-    const bool for_leader =
-        message.kind == Kind::join || (message.kind == Kind::ask_prevote && message.to == raft::kNoMember);
+    const bool for_leader = message.kind == Kind::join ||
+                            (message.kind == Kind::request_prevote && message.to == raft::kNoMember);
     if (for_leader && !leads) {
         // Only the leader can decide, so the request is forwarded to it once.
         const auto leader = forwarded ? std::nullopt : raft_.leader_number();
@@ -89,17 +92,17 @@
         if (forwarded_.size() < kMaxForwardedMessages) forwarded_.push_back(std::move(copy));
         return;
     }
-    if (message.kind == Kind::ask_prevote && message.to == raft::kNoMember) {
+    if (message.kind == Kind::request_prevote && message.to == raft::kNoMember) {
         raft::Message own_copy = message;
         own_copy.to = raft_.id();
         const auto& members = raft_.members();
         const bool member = std::any_of(members.begin(), members.end(),
                                         [&](const auto& one) { return one.id == message.from; });
         if (!member && message.term > raft_.term() + 1) {
-            // The former member has a higher term than this leader and would ignore a `gone` with a lower
-            // one. A refused prevote with its term makes this leader step down, so that the next one is
+            // The former member has a higher term than this leader and would ignore a `not_a_member` with a
+            // lower one. A refused prevote with its term makes this leader step down, so that the next one is
             // elected in a higher term.
-            own_copy.kind = Kind::prevote;
+            own_copy.kind = Kind::prevote_response;
             --own_copy.term;
         }
         raft_.on_message(now, own_copy);
@@ -108,11 +111,12 @@
     raft_.on_message(now, message);
     if ((message.kind == Kind::append || message.kind == Kind::snapshot_piece) &&
         message.from == raft_.leader())
-        leader_heard_ = now, lost_at_ = now + settings_.lost_after;
+        last_leader_contact_ = now, membership_query_due_ = now + settings_.leaderless_after;
 }
 
 std::uint32_t Replica::recent_leader(Millis now) const {
-    if (raft_.role() == raft::RaftNode::Role::leader || now > leader_heard_ + settings_.leader_fresh)
+    if (raft_.role() == raft::RaftNode::Role::leader ||
+        now > last_leader_contact_ + settings_.leader_contact_max_age)
         return 0;
     return raft_.leader_number().value_or(0);
 }
@@ -122,17 +126,17 @@
 // Removes a member that has been silent for long, so that the next failure still leaves a majority. RaftNode
 // leaves this decision to its caller.
 void Replica::remove_silent_member(Millis now) {
-    if (now < looked_at_ + kSilenceCheckIntervalMs || raft_.changing()) return;
-    looked_at_ = now;
+    if (now < last_silence_check_ + kSilenceCheckIntervalMs || raft_.changing()) return;
+    last_silence_check_ = now;
     std::size_t heard = 0;
     const raft::Member* silent = nullptr;
     for (const raft::Member& member : raft_.members()) {
         const auto peer = raft_.peers().find(member.id);
         const bool own = member.id == raft_.id();
         if (!own && peer == raft_.peers().end()) continue;
-        if (own || now <= peer->second.heard + settings_.live_within)
+        if (own || now <= peer->second.last_contact + settings_.live_within)
             heard += member.voter;
-        else if (now > peer->second.heard + settings_.removed_after)
+        else if (now > peer->second.last_contact + settings_.remove_silent_after)
             silent = &member;
     }
     // A silent learner is always removed: it doesn't count for the majority and occupies a member slot.
@@ -145,7 +149,7 @@
 // ---- Operator requests -----------------------------------------------------------------------------------
 
 void Replica::enqueue(Millis now, Waiting waiting) {
-    waiting.until = now + settings_.answer_within;
+    waiting.until = now + settings_.reply_timeout;
     const std::uint32_t elsewhere = recent_leader(now);
     if (!raft_.leads() || raft_.retired() || raft_.transferring_leadership() ||
         waiting_.size() >= settings_.max_waiting) {
@@ -184,7 +188,7 @@
     using Kind = config::ChangeOutcome::Kind;
     if (one.index != 0) return false;  // proposed, not committed yet
     const auto ask = [&] {
-        if (one.question == 0 && raft_.confirm(next_question_)) one.question = next_question_++;
+        if (one.question == 0 && raft_.confirm_leadership(next_question_)) one.question = next_question_++;
         return false;
     };
     Reply reply;
@@ -192,17 +196,17 @@
         if (!one.confirmed) return ask();
         ++counts_.reads;
         reply.current = state_machine_.current();
-        reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::nothing_yet;
+        reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::no_config;
         return answer(one, std::move(reply)), true;
     }
-    if (busy_) return false;  // is validated against the result of the change in flight
+    if (change_in_flight_) return false;  // is validated against the result of the change in flight
     config::ChangeOutcome outcome = state_machine_.check(one.change);
     reply.edition = outcome.edition;
     if (outcome.kind == Kind::taken) {
         const auto index = raft_.propose(encode(one.change));
         if (!index) return answer(one, Reply()), true;
         one.index = *index;
-        busy_ = true;
+        change_in_flight_ = true;
         return false;
     }
     if (outcome.kind == Kind::already) {  // committed before, so no confirmation is needed
@@ -219,7 +223,7 @@
 void Replica::process_waiting(Millis now) {
     const bool leads = raft_.leads() && !raft_.retired() && raft_.term() == term_;
     // A change whose caller timed out stays in flight as long as this node leads.
-    if (!leads) busy_ = false, term_ = raft_.term();
+    if (!leads) change_in_flight_ = false, term_ = raft_.term();
     const bool current = applied_ >= raft_.commit();
     for (Waiting& one : waiting_) {
         if (!leads || now >= one.until) {
@@ -239,7 +243,8 @@
     if (ready.restored) {
         // The constructor has already loaded the snapshot of the first Ready.
         if (ready.restored->index != applied_ && !state_machine_.load(ready.restored->data))
-            throw raft::Broken("the received snapshot can't be decoded as a configuration state machine");
+            throw raft::ProtocolViolation(
+                "the received snapshot can't be decoded as a configuration state machine");
         applied_ = ready.restored->index;
         checkpoint_.reset();
         checkpoint_bytes_ = log_bytes_ = 0;
@@ -253,7 +258,7 @@
         const auto change = config::decode_change(one.entry.data);
         const config::ChangeOutcome outcome =
             change ? state_machine_.apply(*change) : config::ChangeOutcome();
-        busy_ = false;
+        change_in_flight_ = false;
         for (Waiting& waiting : waiting_) {
             if (waiting.index != one.index) continue;
             waiting.index = 0;
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -11,7 +11,7 @@
 //   A change is reported as taken only after it is committed and applied here. A configuration, a stale
 //   version and an invalid change are reported only after a majority has confirmed that this node still
 //   leads, because a partitioned leader may judge by an outdated state. At most one change is in flight; the
-//   next one is validated against its result. Every request gets exactly one reply, within `answer_within`.
+//   next one is validated against its result. Every request gets exactly one reply, within `reply_timeout`.
 #pragma once
 
 #include <deque>
@@ -34,18 +34,18 @@
 constexpr std::size_t kWindowBytes = 128 * 1024;
 
 struct ReplicaSettings {
-    raft::Settings agree{.batch_bytes = kWindowBytes / 2, .window_bytes = kWindowBytes};
+    raft::Settings consensus{.batch_bytes = kWindowBytes / 2, .window_bytes = kWindowBytes};
     // A waiting request gets `unavailable` after this time.
-    Millis answer_within = 900;
+    Millis reply_timeout = 900;
     // Requests are redirected only to a leader that was heard from within this time.
-    Millis leader_fresh = 500;
-    // A voter that has been silent for `removed_after` is removed, if at least `min_live_voters` voters were
-    // heard from within `live_within`.
-    Millis removed_after = 2500;
+    Millis leader_contact_max_age = 500;
+    // A voter that has been silent for `remove_silent_after` is removed, if at least `min_live_voters` voters
+    // were heard from within `live_within`.
+    Millis remove_silent_after = 2500;
     Millis live_within = 1000;
     std::size_t min_live_voters = 3;
     // Time without a leader after which a member asks all known nodes whether it is still a member.
-    Millis lost_after = 1500;
+    Millis leaderless_after = 1500;
     // A checkpoint of the state is made after this many entries or bytes of entries. The log is compacted up
     // to the last checkpoint but one, so that a member that lags slightly gets entries instead of a snapshot.
     std::size_t checkpoint_entries = 64;
@@ -56,10 +56,11 @@
 };
 
 // Initial persistent state of a founding member. A member's number is its IPv4 address in host byte order.
-raft::Stored bootstrap(std::uint64_t fleet, std::uint32_t own, const std::vector<std::uint32_t>& founders);
+raft::PersistentState bootstrap(std::uint64_t cluster_id, std::uint32_t own,
+                                const std::vector<std::uint32_t>& founders);
 
 struct Reply {
-    enum class Kind : std::uint8_t { config, nothing_yet, taken, stale, invalid, elsewhere, unavailable };
+    enum class Kind : std::uint8_t { config, no_config, taken, stale, invalid, elsewhere, unavailable };
     std::uint64_t client = 0;  // as passed to change() or read()
     Kind kind = Kind::unavailable;
     config::Edition edition = 0;                           // taken: of the change; stale: the current one
@@ -80,8 +81,8 @@
 
 class Replica {
 public:
-    // Throws raft::Broken if the stored state is inconsistent or its snapshot can't be decoded.
-    Replica(const ReplicaSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw);
+    // Throws raft::ProtocolViolation if the stored state is inconsistent or its snapshot can't be decoded.
+    Replica(const ReplicaSettings& settings, raft::PersistentState stored, Millis now, std::uint64_t nonce);
 
     void tick(Millis now);
     Millis due() const;  // time of the next tick()
@@ -139,9 +140,9 @@
         std::string state;
     };
     std::optional<Checkpoint> checkpoint_;  // the newest one, to which the log has not been compacted yet
-    Millis now_ = 0, leader_heard_ = -1e18, lost_at_ = 0, looked_at_ = 0;
-    bool busy_ = false;    // a change is in flight
-    raft::Term term_ = 0;  // the term it was proposed in
+    Millis now_ = 0, last_leader_contact_ = -1e18, membership_query_due_ = 0, last_silence_check_ = 0;
+    bool change_in_flight_ = false;  // a change is in flight
+    raft::Term term_ = 0;            // the term it was proposed in
     std::deque<Waiting> waiting_;
     std::uint64_t next_question_ = 1;
     std::vector<Reply> replies_;
--- a/src/control_io/config_resource.cpp
+++ b/src/control_io/config_resource.cpp
@@ -86,7 +86,7 @@
             answer.body = config::to_json(*reply.current);
             return call.done(std::move(answer));
         }
-        case Reply::Kind::nothing_yet:
+        case Reply::Kind::no_config:
             return call.done(refused(404, "no configuration has been put yet"));
         case Reply::Kind::taken:
             return call.done(with_edition(200, "edition", reply.edition));
--- a/src/control_io/control_node.cpp
+++ b/src/control_io/control_node.cpp
@@ -74,11 +74,11 @@
     distributor_.on_ask_current = [this](std::function<void(config::CurrentAnswer)> done) {
         ask_current(std::move(done));
     };
-    settings_.agree.fleet = kClusterId;
-    settings_.agree.number = ip_;
-    settings_.agree.keepers = UINT32_MAX;
-    settings_.agree.heartbeat = 100;
-    settings_.agree.election = 450;
+    settings_.consensus.cluster_id = kClusterId;
+    settings_.consensus.number = ip_;
+    settings_.consensus.member_slots = UINT32_MAX;
+    settings_.consensus.heartbeat = 100;
+    settings_.consensus.election = 450;
     for (const auto& seed : boot.seeds) seeds_.push_back(seed.address().to_v4().to_uint());
     peers_ = std::make_unique<Peers>(io, boot.ip, static_cast<std::uint16_t>(boot.first_port + 2),
                                      [this](const raft::Message& message, bool forwarded) {
@@ -108,7 +108,7 @@
             const bool founder = boot_.first_boot && store_->why().empty() &&
                                  std::find(seeds_.begin(), seeds_.end(), ip_) != seeds_.end();
             stored = founder ? bootstrap(kClusterId, ip_, seeds_)
-                             : raft::newcomer(kClusterId, raft::kFirstDrawn + (random_id() >> 4));
+                             : raft::newcomer(kClusterId, raft::kFirstRandomId + (random_id() >> 4));
             store_->begin(*stored);
             log_line(founder ? "SB004 founder" : "SB002 newcomer",
                      founder ? "starting as a founding member of " + text_of(stored->snapshot.members)
@@ -156,15 +156,15 @@
 void ControlNode::guarded(const std::function<void()>& what) {
     try {
         what();
-    } catch (const std::exception& fault) {  // raft::Broken, StoreMismatch
+    } catch (const std::exception& fault) {  // raft::ProtocolViolation, StoreMismatch
         fail(fault.what());
     }
 }
 
 void ControlNode::fail(const std::string& why) {
     log_line("SB030 hub stops", "fatal error, the control node stops: " + why, {{"why", why}});
-    if (!std::exchange(fatal_reported_, true) && on_over)
-        asio::post(io_, [report = on_over, why] { report(why); });
+    if (!std::exchange(fatal_reported_, true) && on_fatal_error)
+        asio::post(io_, [report = on_fatal_error, why] { report(why); });
     halt();
 }
 
@@ -195,7 +195,7 @@
             log_line("SB014 no member any more",
                      "removed from the members; starting over as a new member without a vote");
             try {
-                store_->begin(raft::newcomer(kClusterId, raft::kFirstDrawn + (random_id() >> 4)));
+                store_->begin(raft::newcomer(kClusterId, raft::kFirstRandomId + (random_id() >> 4)));
             } catch (const StoreFailure& fault) {
                 return on_store_failure(fault.what());
             }
@@ -257,7 +257,7 @@
 
 // ---- Control ---------------------------------------------------------------------------------------------
 
-void ControlNode::hubs(std::vector<std::uint32_t> ips) {
+void ControlNode::set_control_nodes(std::vector<std::uint32_t> ips) {
     control_nodes_ = std::move(ips);
     if (control_nodes_.size() > kMaxControlNodes) control_nodes_.resize(kMaxControlNodes);
 }
@@ -275,7 +275,7 @@
             log_line("SB016 hands over", "stopping: transferring the leadership to another member");
     });
     if (!replica_ || drained()) return halt();
-    stop_timer_.expires_after(kStopWithin);
+    stop_timer_.expires_after(kStopTimeout);
     stop_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (!ec && *alive) halt();
     });
@@ -329,7 +329,7 @@
     if (replica_) {
         const raft::RaftNode& raft = replica_->raft();
         json["role"] = name_of(raft.role());
-        json["founder"] = raft.id() < raft::kFirstDrawn;
+        json["founder"] = raft.id() < raft::kFirstRandomId;
         json["leads"] = raft.leads();
         json["leader"] = raft.leader_number() ? text_of(*raft.leader_number()) : "";
         json["term"] = Json::UInt64(raft.term());
@@ -342,7 +342,8 @@
             one["ip"] = text_of(member.number);
             one["voter"] = member.voter;
             const auto peer = raft.peers().find(member.id);
-            if (raft.leads() && peer != raft.peers().end()) one["silent_ms"] = now() - peer->second.heard;
+            if (raft.leads() && peer != raft.peers().end())
+                one["silent_ms"] = now() - peer->second.last_contact;
             if (member.id == raft.id()) json["voter"] = member.voter;
             json["members"].append(one);
         }
--- a/src/control_io/control_node.hpp
+++ b/src/control_io/control_node.hpp
@@ -19,7 +19,7 @@
 
 namespace cobaltshift::control {
 
-constexpr std::chrono::milliseconds kStoreRetryDelay{300}, kStopWithin{600};
+constexpr std::chrono::milliseconds kStoreRetryDelay{300}, kStopTimeout{600};
 // Client ids with this bit set belong to nodes that ask for the current edition; the others belong to
 // operator requests.
 constexpr std::uint64_t kCurrentQuestionBit = 1ULL << 63;
@@ -35,7 +35,7 @@
 
     Resource& config() { return config_; }
     // The control nodes known from gossip, as IPv4 addresses in host byte order. Seeds need not be included.
-    void hubs(std::vector<std::uint32_t> ips);
+    void set_control_nodes(std::vector<std::uint32_t> ips);
     bool leads() const { return replica_ && replica_->raft().leads(); }
     config::Edition edition() const { return replica_ ? replica_->state_machine().edition() : 0; }
     std::string status() const;  // JSON
@@ -44,12 +44,12 @@
     std::function<void(config::Edition)> on_edition;
 
     // Planned stop: transfers the leadership, answers open requests, then closes all sockets and calls
-    // `done`, within kStopWithin. The node stays a member: it may restart with the same disk, or Replica
+    // `done`, within kStopTimeout. The node stays a member: it may restart with the same disk, or Replica
     // removes it after a successor has joined.
     void stop(std::function<void()> done = {});
     // Called once if this node can't continue (protocol violation, store of another cluster): the program
     // should exit.
-    std::function<void(const std::string& why)> on_over;
+    std::function<void(const std::string& why)> on_fatal_error;
 
 private:
     void open();
--- a/src/control_io/store.cpp
+++ b/src/control_io/store.cpp
@@ -9,7 +9,7 @@
 
 #include "control_io/durable_env.hpp"
 #include "raft/codec.hpp"
-#include "store/sealed.hpp"
+#include "store/checksum.hpp"
 
 namespace cobaltshift::control {
 
@@ -112,7 +112,7 @@
 }
 
 Store::Read Store::read() {
-    raft::Stored s;
+    raft::PersistentState s;
     bool header = false, vote = false, snapshot = false;
     std::map<raft::Index, raft::Entry> entries;
     const std::unique_ptr<leveldb::Iterator> at(db_->NewIterator({}));
@@ -137,7 +137,7 @@
         }
         if (key == kHeader) {
             if (contents.size() != 24) return corrupt(key, "has a wrong size");
-            s.fleet = decode_number(contents, 0);
+            s.cluster_id = decode_number(contents, 0);
             s.id = decode_number(contents, 8);
             s.starts = decode_number(contents, 16);
             header = true;
@@ -160,7 +160,7 @@
     if (!at->status().ok()) return why_ = at->status().ToString(), Read::corrupt;
     if (!header && !vote && !snapshot && entries.empty()) return Read::empty;
     if (!header || !vote || !snapshot) return why_ = "a record is missing", Read::corrupt;
-    if (s.fleet != cluster_id_) throw StoreMismatch(folder_ + ": belongs to another cluster");
+    if (s.cluster_id != cluster_id_) throw StoreMismatch(folder_ + ": belongs to another cluster");
     first_ = s.snapshot.index + 1;
     last_ = s.snapshot.index;
     for (auto& [index, entry] : entries) {
@@ -210,7 +210,7 @@
     for (raft::Index index = first_; index <= last_; ++index) batch.Delete(entry_key(index));
 }
 
-void Store::begin(const raft::Stored& stored) {
+void Store::begin(const raft::PersistentState& stored) {
     leveldb::WriteBatch batch;
     clear(batch);
     id_ = stored.id;
--- a/src/control_io/store.hpp
+++ b/src/control_io/store.hpp
@@ -1,6 +1,6 @@
-// Persistent storage of a control node's Raft state (raft::Stored) in LevelDB. Main type: Store, used by
-// ControlNode. Not thread-safe. Each Ready is written as one batch, which is synced before the call returns.
-// Each record holds a format version and the XXH3 of its key and contents.
+// Persistent storage of a control node's Raft state (raft::PersistentState) in LevelDB. Main type: Store,
+// used by ControlNode. Not thread-safe. Each Ready is written as one batch, which is synced before the call
+// returns. Each record holds a format version and the XXH3 of its key and contents.
 //
 // Errors: StoreFailure if the disk fails: none of the batch may be relied upon, and the store must be opened
 // again later. StoreMismatch if the folder has another format or belongs to another cluster: it is left
@@ -41,11 +41,11 @@
     ~Store();
 
     // Moves out the state that was read on opening. None if the store is new or the former one was set aside.
-    std::optional<raft::Stored> take_stored() { return std::move(stored_); }
+    std::optional<raft::PersistentState> take_stored() { return std::move(stored_); }
     const std::string& why() const { return why_; }  // why a damaged folder was set aside; empty: none was
 
     // Replaces the entire contents by `stored`.
-    void begin(const raft::Stored& stored);
+    void begin(const raft::PersistentState& stored);
     // Persists the start counter of this run. Must be called once before any message is sent.
     void record_start(std::uint64_t count);
     // Persists what `ready` asks for, synced. Throws StoreFailure.
@@ -69,7 +69,7 @@
     std::unique_ptr<leveldb::Logger> logger_;
     std::unique_ptr<leveldb::Cache> cache_;
     std::unique_ptr<leveldb::DB> db_;
-    std::optional<raft::Stored> stored_;
+    std::optional<raft::PersistentState> stored_;
     raft::MemberId id_ = 0;
     std::uint64_t starts_ = 0;
     raft::Index first_ = 1, last_ = 0;  // first and last index of the stored entries
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -1,7 +1,7 @@
 #include "lease/codec.hpp"
 
+#include "store/checksum.hpp"
 #include "store/fields.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift::lease {
 
@@ -24,7 +24,7 @@
 std::optional<What> read(std::string_view bytes, std::size_t most, std::string& why, Take take) {
     why.clear();
     if (bytes.size() > most) return why = "it is too long", std::nullopt;
-    const auto body = store::unsealed(bytes);
+    const auto body = store::verify_checksum(bytes);
     if (!body) return why = "its checksum is not its own", std::nullopt;
     What what;
     std::uint64_t format = 0;
@@ -59,7 +59,7 @@
     w.add_bool(9, q.wait);
     add_text(w, 10, q.next);
     add_text(w, 11, q.text);
-    return store::sealed(std::move(bytes));
+    return store::append_checksum(std::move(bytes));
 }
 
 std::optional<Question> decode_question(std::string_view bytes, std::string& why) {
@@ -121,7 +121,7 @@
     w.add_uint32(8, a.place);
     add_text(w, 9, a.by);
     add_text(w, 10, a.text);
-    return store::sealed(std::move(bytes));
+    return store::append_checksum(std::move(bytes));
 }
 
 std::optional<Answer> decode_answer(std::string_view bytes, std::string& why) {
--- a/src/lease/office.cpp
+++ b/src/lease/office.cpp
@@ -21,7 +21,7 @@
 }
 }  // namespace
 
-Office::Office(const OfficeSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw)
+Office::Office(const OfficeSettings& settings, raft::PersistentState stored, Millis now, std::uint64_t draw)
     : settings_(settings), keeper_(settings.agree, std::move(stored), now, draw), now_(now) {}
 
 void Office::heard(Millis now, const raft::Message& message) {
@@ -96,7 +96,7 @@
         return reply(client, question, answer);
     }
     if (question.kind == Question::Kind::list) {
-        if (pending_reads_.size() < settings_.questions && keeper_.confirm(next_question_))
+        if (pending_reads_.size() < settings_.questions && keeper_.confirm_leadership(next_question_))
             pending_reads_[next_question_++] = {client, question};
         return;
     }
@@ -143,7 +143,7 @@
             if (note(client, question)) return;
             // A newer leader may have granted the lease meanwhile, so `lost` is answered only once this
             // replica's leadership is confirmed.
-            if (pending_reads_.size() < settings_.questions && keeper_.confirm(next_question_))
+            if (pending_reads_.size() < settings_.questions && keeper_.confirm_leadership(next_question_))
                 pending_reads_[next_question_++] = {client, question};
             return;
         case Question::Kind::list:
@@ -172,7 +172,7 @@
             answer.fence = task->fence;
             return reply(client, question, answer);
         }
-        if (renewals_.size() >= settings_.questions || !keeper_.confirm(next_question_)) return;
+        if (renewals_.size() >= settings_.questions || !keeper_.confirm_leadership(next_question_)) return;
         renewals_[next_question_++] = {client, question.holder, question.number, question.task, task->fence};
         return;
     }
@@ -267,7 +267,7 @@
     applied_ = one.index;
     if (one.entry.kind != raft::Entry::Kind::data) return;
     const auto op = decode_op(one.entry.data);
-    if (!op) throw raft::Broken("an operation in the log can't be read");
+    if (!op) throw raft::ProtocolViolation("an operation in the log can't be read");
     const Book::Effect effect = book_.apply(*op);
     if (!leads_) return;
     const Book::Task* task = book_.find(op->task);
@@ -363,7 +363,7 @@
     if (output.ready.restored) {
         if (output.ready.restored->index > 0 && !output.ready.restored->data.empty() &&
             !book_.load(output.ready.restored->data))
-            throw raft::Broken("a snapshot's book can't be read");
+            throw raft::ProtocolViolation("a snapshot's book can't be read");
         if (output.ready.restored->index == 0) book_ = {};
         applied_ = output.ready.restored->index;
     }
--- a/src/lease/office.hpp
+++ b/src/lease/office.hpp
@@ -55,7 +55,7 @@
 
     // `settings` must be within their ranges. `draw` seeds the random number generator. Throws like
     // raft::RaftNode's constructor.
-    Office(const OfficeSettings& settings, raft::Stored stored, Millis now, std::uint64_t draw);
+    Office(const OfficeSettings& settings, raft::PersistentState stored, Millis now, std::uint64_t draw);
 
     // Handles a Raft message.
     void heard(Millis now, const raft::Message& message);
--- a/src/lease_io/keeper_node.cpp
+++ b/src/lease_io/keeper_node.cpp
@@ -33,8 +33,8 @@
 std::uint64_t fleet_number(const std::string& name) { return XXH3_64bits(name.data(), name.size()); }
 
 void found(const KeeperSettings& own, std::size_t keepers) {
-    store::Folder folder(own.folder);
-    if (folder.found() != store::Folder::Found::nothing)
+    store::SqliteStorage folder(own.folder);
+    if (folder.found() != store::SqliteStorage::Found::nothing)
         throw KeeperError("folder " + own.folder + " already holds the data of a keeper");
     folder.begin(raft::bootstrap(fleet_number(own.fleet), own.office.agree.number,
                                  static_cast<std::uint32_t>(keepers)));
@@ -49,8 +49,8 @@
       acceptor_(io, own_.listen),
       timer_(io),
       accept_timer_(io) {
-    office_settings_.agree.fleet = fleet_number(own_.fleet);
-    office_settings_.agree.keepers = static_cast<std::uint32_t>(all_.keepers.size());
+    office_settings_.agree.cluster_id = fleet_number(own_.fleet);
+    office_settings_.agree.member_slots = static_cast<std::uint32_t>(all_.keepers.size());
     boot();
     for (std::uint32_t n = 0; n < all_.keepers.size(); ++n) {
         if (n == own_.office.agree.number) continue;
@@ -104,24 +104,24 @@
     log_line("keeper.new_life",
              "keeper " + std::to_string(own_.office.agree.number) + " starts a new incarnation: " + why,
              {{"keeper", std::uint64_t{own_.office.agree.number}}, {"why", why}});
-    folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
+    folder_->begin(raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (drawn() >> 4)));
 }
 
 void KeeperNode::boot() {
     office_.reset();
     folder_.reset();  // releases the lock before reopening
-    folder_ = std::make_unique<store::Folder>(own_.folder);
-    raft::Stored stored;
-    if (folder_->found() == store::Folder::Found::whole) {
+    folder_ = std::make_unique<store::SqliteStorage>(own_.folder);
+    raft::PersistentState stored;
+    if (folder_->found() == store::SqliteStorage::Found::intact) {
         stored = folder_->take_stored();
-        if (stored.fleet != office_settings_.agree.fleet)
+        if (stored.cluster_id != office_settings_.agree.cluster_id)
             throw KeeperError("folder " + own_.folder + " belongs to another fleet than '" + own_.fleet +
                               "'");
-        if (stored.id < raft::kFirstDrawn && stored.id != own_.office.agree.number + 1)
+        if (stored.id < raft::kFirstRandomId && stored.id != own_.office.agree.number + 1)
             throw KeeperError("folder " + own_.folder + " is keeper " + std::to_string(stored.id - 1) +
                               "'s, not " + std::to_string(own_.office.agree.number) + "'s");
     } else {
-        begin_anew(folder_->found() == store::Folder::Found::spoilt
+        begin_anew(folder_->found() == store::SqliteStorage::Found::corrupt
                        ? "its folder is corrupt, " + folder_->why()
                        : "its folder is empty");
         stored = folder_->take_stored();
@@ -216,7 +216,7 @@
         const auto peer = keeper.peers().find(member.id);
         if (keeper.leads() && peer != keeper.peers().end()) {
             one["stored"] = peer->second.match;
-            if (peer->second.active) one["silent_ms"] = static_cast<long>(now - peer->second.heard);
+            if (peer->second.active) one["silent_ms"] = static_cast<long>(now - peer->second.last_contact);
         }
         said["members"].push_back(one);
     }
@@ -321,7 +321,7 @@
             const Millis before = own_clock();
             try {
                 folder_->keep(output.ready);
-            } catch (const store::FolderFull& fault) {
+            } catch (const store::StorageFull& fault) {
                 log_line("keeper.restarts", std::string("keeper restarts from its folder: ") + fault.what(),
                          {{"keeper", std::uint64_t{own_.office.agree.number}},
                           {"why", std::string(fault.what())}});
@@ -342,7 +342,8 @@
             counts_.longest_sync = std::max(counts_.longest_sync, own_clock() - before);
         }
         if (output.ready.retired) {
-            folder_->begin(raft::newcomer(office_settings_.agree.fleet, raft::kFirstDrawn + (drawn() >> 4)));
+            folder_->begin(
+                raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (drawn() >> 4)));
             ++counts_.lives;
             log_line("keeper.new_life", "keeper " + std::to_string(own_.office.agree.number) +
                                             " has been removed from the members and asks to join again");
--- a/src/lease_io/keeper_node.hpp
+++ b/src/lease_io/keeper_node.hpp
@@ -16,7 +16,7 @@
 #include "lease_io/line.hpp"
 #include "lease_io/settings.hpp"
 #include "metrics/text.hpp"
-#include "store_io/folder.hpp"
+#include "store_io/sqlite_storage.hpp"
 
 namespace cobaltshift::lease {
 
@@ -76,7 +76,7 @@
     const KeepersSettings all_;
     const Secret secret_;
     OfficeSettings office_settings_;
-    std::unique_ptr<store::Folder> folder_;
+    std::unique_ptr<store::SqliteStorage> folder_;
     std::unique_ptr<Office> office_;
     tcp::acceptor acceptor_;
     asio::steady_timer timer_, accept_timer_;
--- a/src/probing/message.cpp
+++ b/src/probing/message.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
+#include "store/checksum.hpp"
 #include "store/fields.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift::probing {
 
@@ -56,13 +56,13 @@
         result.add_uint64(4, static_cast<std::uint64_t>(std::clamp(r.age, 0.0, kOldest)));
         w.add_bytes(6, one);
     }
-    return store::sealed(std::move(bytes));
+    return store::append_checksum(std::move(bytes));
 }
 
 std::optional<Told> decode(std::string_view bytes, std::string& why) {
     why.clear();
     if (bytes.size() > kMaxMessage) return why = "it is too long", std::nullopt;
-    const auto body = store::unsealed(bytes);
+    const auto body = store::verify_checksum(bytes);
     if (!body) return why = "its checksum is not its own", std::nullopt;
     Told told;
     std::uint64_t format = 0;
--- a/src/programs/control.cpp
+++ b/src/programs/control.cpp
@@ -42,7 +42,7 @@
         };
         gossip_.on_configuration = [this](std::uint32_t, std::uint64_t) {
         };  // a control node gets configurations by replication
-        control_node_.on_over = [this](const std::string& why) {
+        control_node_.on_fatal_error = [this](const std::string& why) {
             log_line("SB029 over", why);
             failed_ = true;
             io_.stop();
@@ -61,7 +61,7 @@
         control_node_.stop();
         gossip_.stop();
         listener_.stop_accepting();
-        timer_.expires_after(control::kStopWithin + std::chrono::milliseconds(50));
+        timer_.expires_after(control::kStopTimeout + std::chrono::milliseconds(50));
         timer_.async_wait([done](error_code) { done(); });
     }
 
@@ -73,7 +73,7 @@
     // Passes the known control nodes on and republishes the edition if it changed.
     void poll_hubs() {
         if (stopping_) return;
-        control_node_.hubs(gossip_.hubs());
+        control_node_.set_control_nodes(gossip_.hubs());
         if (control_node_.edition() != gossip_.self().config_edition)
             publish_edition(control_node_.edition());
         timer_.expires_after(kHubsPollInterval);
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -1,8 +1,8 @@
 #include "raft/codec.hpp"
 
 #include "raft/snapshot_transfer.hpp"
+#include "store/checksum.hpp"
 #include "store/fields.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift::raft {
 
@@ -184,12 +184,12 @@
     pbf_writer w(bytes);
     w.add_uint64(1, kFormat);
     w.add_uint32(2, static_cast<std::uint32_t>(m.kind));
-    w.add_uint64(3, m.fleet);
+    w.add_uint64(3, m.cluster_id);
     w.add_uint64(4, m.from);
     w.add_uint64(5, m.to);
     w.add_uint32(6, m.number);
     w.add_uint64(7, m.run.starts);
-    w.add_uint64(8, m.run.draw);
+    w.add_uint64(8, m.run.nonce);
     w.add_uint64(9, m.term);
     w.add_uint64(10, m.index);
     w.add_uint64(11, m.commit);
@@ -200,13 +200,13 @@
     for (const Entry& entry : m.entries) w.add_bytes(16, encode(entry));
     if (m.offset > 0) w.add_uint64(18, m.offset);
     if (m.piece) w.add_bytes(19, encode(*m.piece));
-    return store::sealed(std::move(bytes));
+    return store::append_checksum(std::move(bytes));
 }
 
 std::optional<Message> decode_message(std::string_view bytes, std::string& why) {
     why.clear();
     if (bytes.size() > kMaxMessageBytes) return why = "it is too long", std::nullopt;
-    const auto body = store::unsealed(bytes);
+    const auto body = store::verify_checksum(bytes);
     if (!body) return why = "its checksum is not its own", std::nullopt;
     Message m;
     std::uint64_t format = 0;
@@ -220,7 +220,7 @@
                     m.kind = static_cast<Message::Kind>(f.number("kind", kLastKind));
                     break;
                 case 3:
-                    m.fleet = f.number("fleet");
+                    m.cluster_id = f.number("fleet");
                     break;
                 case 4:
                     m.from = f.number("from");
@@ -235,7 +235,7 @@
                     m.run.starts = f.number("starts");
                     break;
                 case 8:
-                    m.run.draw = f.number("draw");
+                    m.run.nonce = f.number("draw");
                     break;
                 case 9:
                     m.term = f.number("term");
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -23,11 +23,11 @@
         // Check-quorum: a leader that hears no majority steps down, so that it no longer answers as leader.
         std::size_t reachable = 1;
         for (const auto& [id, peer] : peers_)
-            reachable += voter(id) && now < peer.heard + 2 * settings_.election;
+            reachable += voter(id) && now < peer.last_contact + 2 * settings_.election;
         if (reachable < majority()) return become_follower(now, term_, kNoMember);
         if (transfer_to_ != kNoMember && now >= transfer_until_) transfer_to_ = kNoMember;
         advance_membership(now);
-        commit_before_ = commit_;
+        previous_commit_ = commit_;
         broadcast(now, true);
         return;
     }
@@ -55,7 +55,8 @@
     votes_[id_] = true;
     for (const Member& member : members_) {
         if (member.id == id_ || !member.voter) continue;
-        Message m = message(is_election ? Message::Kind::ask_vote : Message::Kind::ask_prevote, member.id);
+        Message m =
+            message(is_election ? Message::Kind::request_vote : Message::Kind::request_prevote, member.id);
         m.term = is_election ? term_ : term_ + 1;
         m.index = last();
         m.log_term = term_at(last());
@@ -87,9 +88,9 @@
     votes_.clear();
     peers_.clear();
     joiners_.clear();
-    questions_.clear();
-    confirmed_.clear();
-    round_wanted_ = false;
+    pending_reads_.clear();
+    confirmed_reads_.clear();
+    round_requested_ = false;
     transfer_to_ = kNoMember;
 }
 
@@ -103,11 +104,11 @@
         if (member.id == id_) continue;
         Peer& peer = peers_[member.id];
         peer.next = last() + 1;
-        peer.heard = now;  // starts the check-quorum period for this member
+        peer.last_contact = now;  // starts the check-quorum period for this member
     }
     append({term_, Entry::Kind::nothing, {}});
     term_start_ = last();
-    commit_before_ = term_start_;  // a learner must hold this term's first entry to become a voter
+    previous_commit_ = term_start_;  // a learner must hold this term's first entry to become a voter
     heartbeat_due_ = now + settings_.heartbeat;
     broadcast(now);
     maybe_commit();
@@ -120,7 +121,7 @@
     MemberId best = kNoMember;
     Index most = 0;
     for (const auto& [id, peer] : peers_) {
-        const bool recent = peer.active && now <= peer.heard + settings_.election;
+        const bool recent = peer.active && now <= peer.last_contact + settings_.election;
         if (!voter(id) || !recent || peer.match < most) continue;
         best = id;
         most = peer.match;
@@ -128,7 +129,7 @@
     if (best == kNoMember) return false;
     transfer_to_ = best;
     transfer_until_ = now + settings_.election;
-    transfer_asked_ = false;
+    transfer_requested_ = false;
     send_timeout_now();
     return true;
 }
@@ -137,9 +138,10 @@
 // next leader.
 void RaftNode::send_timeout_now() {
     const auto peer = peers_.find(transfer_to_);
-    if (transfer_to_ == kNoMember || transfer_asked_ || peer == peers_.end() || peer->second.match < last())
+    if (transfer_to_ == kNoMember || transfer_requested_ || peer == peers_.end() ||
+        peer->second.match < last())
         return;
-    transfer_asked_ = true;
+    transfer_requested_ = true;
     out_.push_back(message(Message::Kind::timeout_now, transfer_to_));
 }
 
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -17,8 +17,9 @@
 //                            (replication.cpp, on_append())
 //   leader completeness      votes go only to candidates whose log is at least as up to date; only entries of
 //                            the current term are committed by counting (election.cpp, replication.cpp)
-//   state machine safety     a committed entry is never replaced; a message that requires it throws Broken
-//   one change at a time     no membership change while another is uncommitted, and none before the leader
+//   state machine safety     a committed entry is never replaced; a message that requires it throws
+//   ProtocolViolation one change at a time     no membership change while another is uncommitted, and none
+//   before the leader
 //                            has committed an entry of its own term (membership.cpp)
 //   snapshot integrity       a snapshot is installed only after its last piece has arrived and its digest
 //                            matches (snapshot_transfer.cpp)
@@ -39,16 +40,16 @@
 namespace cobaltshift::raft {
 
 // A state that is impossible if all members follow the protocol. The node must stop and report it.
-struct Broken : std::logic_error {
+struct ProtocolViolation : std::logic_error {
     using std::logic_error::logic_error;
 };
 
 struct Settings {
-    std::uint64_t fleet = 0;
-    std::uint32_t number = 0;   // this member's number
-    std::uint32_t keepers = 3;  // only numbers from 0 to keepers - 1 may become members
-    Millis heartbeat = 100;     // interval of a leader's heartbeats; bounds the wait for the next round
-    Millis election = 1000;     // minimum election timeout; the actual one is random, up to twice as long
+    std::uint64_t cluster_id = 0;
+    std::uint32_t number = 0;        // this member's number
+    std::uint32_t member_slots = 3;  // only numbers from 0 to member_slots - 1 may become members
+    Millis heartbeat = 100;          // interval of a leader's heartbeats; bounds the wait for the next round
+    Millis election = 1000;  // minimum election timeout; the actual one is random, up to twice as long
     std::size_t batch_bytes = 256 * 1024;        // entries in one message
     std::size_t window_bytes = 4 * 1024 * 1024;  // entries in flight to one member, not yet acknowledged
 };
@@ -62,7 +63,7 @@
 struct Ready {
     // 1. Write and sync. Stored entries from index `from` on are replaced by `entries`; with from == 0 the
     // stored entries stay as they are.
-    std::optional<Stored> vote;        // only `term` and `voted` are set
+    std::optional<PersistentState> vote;  // only `term` and `voted` are set
     std::optional<Snapshot> snapshot;  // replaces the stored log; `entries` is everything after the snapshot
     Index from = 0;
     std::vector<Entry> entries;
@@ -82,9 +83,9 @@
 public:
     enum class Role { follower, prevoting, candidate, leader };
 
-    // `stored` must have an id. `draw` is a random number that identifies this run and seeds the election
-    // timeouts. Throws Broken if the stored log is inconsistent.
-    RaftNode(const Settings& settings, Stored stored, Millis now, std::uint64_t draw);
+    // `stored` must have an id. `nonce` is a random number that identifies this run and seeds the election
+    // timeouts. Throws ProtocolViolation if the stored log is inconsistent.
+    RaftNode(const Settings& settings, PersistentState stored, Millis now, std::uint64_t nonce);
 
     void tick(Millis now);
     Millis due() const;  // time of the next tick()
@@ -96,7 +97,7 @@
     // Read-index: Ready::confirmed will contain `read_id` once a majority has acknowledged a round of
     // messages that was started after this call, which proves that this member still led at the time of the
     // call. False: not leads(), a leadership transfer is running, or too many calls are pending.
-    bool confirm(std::uint64_t read_id);
+    bool confirm_leadership(std::uint64_t read_id);
     // Proposes to remove a member permanently. False: not possible now, because this member does not lead,
     // another change is uncommitted, or it is this member, the last one, or no member.
     bool remove(std::uint32_t number);
@@ -142,7 +143,7 @@
         bool match_known = false;        // the member itself has reported its log in this term
         Millis progressed_at = 0;        // when `match` last grew, or everything beyond it was sent again
         std::uint64_t round = 0;         // newest round that it has acknowledged
-        Millis heard = 0;                // when its last message arrived
+        Millis last_contact = 0;         // when its last message arrived
         bool active = false;             // heard from in this term
         std::uint64_t match_starts = 0;  // start counter of the run that reported `match`
         std::optional<SnapshotSender> transfer;  // running snapshot transfer, if the log was compacted
@@ -209,47 +210,47 @@
     Settings settings_;
     const MemberId id_;
     const Run run_;
-    kelplb::Random lots_;
+    kelplb::Random random_;
     Term term_;
     MemberId voted_;
     Snapshot snapshot_;
     std::vector<Entry> log_;  // starting at first()
     Members members_;
     Index members_at_ = 0;  // index of the entry or snapshot that members_ is from
-    Index commit_, applied_, kept_;
-    Index unkept_from_ = 0;  // lowest index that still has to be persisted; 0: none
-    Index keeping_to_ = 0;   // last index covered by the Ready that is being persisted
-    bool taken_ = false, vote_changed_ = false, snapshot_changed_ = false, restored_ = false,
-         retired_ = false, retired_told_ = false;
+    Index commit_, applied_, persisted_index_;
+    Index unpersisted_from_ = 0;  // lowest index that still has to be persisted; 0: none
+    Index persisting_to_ = 0;     // last index covered by the Ready that is being persisted
+    bool ready_taken_ = false, vote_changed_ = false, snapshot_changed_ = false, restored_ = false,
+         retired_ = false, retired_reported_ = false;
 
     Role role_ = Role::follower;
     MemberId leader_ = kNoMember;
-    Millis leader_heard_ = -1e18, election_due_ = 0, heartbeat_due_ = 0, join_due_ = 0, now_ = 0;
+    Millis last_leader_contact_ = -1e18, election_due_ = 0, heartbeat_due_ = 0, join_due_ = 0, now_ = 0;
     std::map<MemberId, bool> votes_;
     std::map<MemberId, Peer> peers_;
-    std::map<MemberId, KnownRun> seen_;  // at most kMaxTrackedMembers entries
+    std::map<MemberId, KnownRun> known_runs_;  // at most kMaxTrackedMembers entries
     struct Joiner {
         MemberId id;
-        Millis heard;
+        Millis last_contact;
     };
     std::map<std::uint32_t, Joiner> joiners_;
     SnapshotReceiver receiver_;
     MemberId transfer_to_ = kNoMember;  // target of a running leadership transfer
     Millis transfer_until_ = 0;
-    bool transfer_asked_ = false;
+    bool transfer_requested_ = false;
     Index term_start_ = 0;
-    Index commit_before_ = 0;  // commit_ as of the previous heartbeat
-    std::uint64_t round_ = 0;  // newest round started
-    bool round_wanted_ = false;
-    std::vector<PendingRead> questions_;
-    std::vector<std::uint64_t> confirmed_;
+    Index previous_commit_ = 0;  // commit_ as of the previous heartbeat
+    std::uint64_t round_ = 0;    // newest round started
+    bool round_requested_ = false;
+    std::vector<PendingRead> pending_reads_;
+    std::vector<std::uint64_t> confirmed_reads_;
     std::vector<Message> out_;
     Counts counts_;
 };
 
-// Initial state of one of the first members: all numbers from 0 to keepers - 1 are voters.
-Stored bootstrap(std::uint64_t fleet, std::uint32_t number, std::uint32_t keepers);
-// Initial state of a member that joins later. `id` is a random number of at least kFirstDrawn.
-Stored newcomer(std::uint64_t fleet, MemberId id);
+// Initial state of one of the first members: all numbers from 0 to member_slots - 1 are voters.
+PersistentState bootstrap(std::uint64_t cluster_id, std::uint32_t number, std::uint32_t member_slots);
+// Initial state of a member that joins later. `id` is a random number of at least kFirstRandomId.
+PersistentState newcomer(std::uint64_t cluster_id, MemberId id);
 
 }  // namespace cobaltshift::raft
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -12,7 +12,7 @@
 
 void RaftNode::broadcast(Millis now, bool again) {
     ++round_;
-    round_wanted_ = false;
+    round_requested_ = false;
     for (auto& [id, peer] : peers_) {
         if (again && peer.match_known && peer.match + 1 < peer.next &&
             now >= peer.progressed_at + resend_timeout(peer)) {
@@ -73,7 +73,7 @@
 Index RaftNode::replicated_to_all(Millis now) const {
     Index least = last();
     for (const auto& [id, peer] : peers_)
-        if (now <= peer.heard + 2 * settings_.election) least = std::min(least, peer.match);
+        if (now <= peer.last_contact + 2 * settings_.election) least = std::min(least, peer.match);
     return least;
 }
 
@@ -83,17 +83,17 @@
     return last();
 }
 
-bool RaftNode::confirm(std::uint64_t read_id) {
-    if (!leads() || retired_ || transferring_leadership() || questions_.size() >= kMaxPendingReads)
+bool RaftNode::confirm_leadership(std::uint64_t read_id) {
+    if (!leads() || retired_ || transferring_leadership() || pending_reads_.size() >= kMaxPendingReads)
         return false;
-    questions_.push_back({read_id, round_ + 1});
-    round_wanted_ = true;
+    pending_reads_.push_back({read_id, round_ + 1});
+    round_requested_ = true;
     return true;
 }
 
 // A round that a majority has acknowledged confirms all reads that were requested before it was started.
 void RaftNode::confirm_reads() {
-    if (role_ != Role::leader || questions_.empty() || commit_ < term_start_) return;
+    if (role_ != Role::leader || pending_reads_.empty() || commit_ < term_start_) return;
     std::vector<std::uint64_t> rounds;
     for (const Member& member : members_) {
         if (!member.voter) continue;
@@ -103,9 +103,9 @@
     if (rounds.size() < majority()) return;
     std::sort(rounds.rbegin(), rounds.rend());
     const std::uint64_t acknowledged = rounds[majority() - 1];
-    for (const PendingRead& read_id : questions_)
-        if (read_id.round <= acknowledged) confirmed_.push_back(read_id.number);
-    std::erase_if(questions_, [&](const PendingRead& q) { return q.round <= acknowledged; });
+    for (const PendingRead& read_id : pending_reads_)
+        if (read_id.round <= acknowledged) confirmed_reads_.push_back(read_id.number);
+    std::erase_if(pending_reads_, [&](const PendingRead& q) { return q.round <= acknowledged; });
 }
 
 void RaftNode::maybe_commit() {
@@ -114,7 +114,9 @@
     for (const Member& member : members_) {
         if (!member.voter) continue;
         const auto peer = peers_.find(member.id);
-        matches.push_back(member.id == id_ ? kept_ : peer == peers_.end() ? 0 : peer->second.match);
+        matches.push_back(member.id == id_       ? persisted_index_
+                          : peer == peers_.end() ? 0
+                                                 : peer->second.match);
     }
     if (matches.size() < majority()) return;
     std::sort(matches.rbegin(), matches.rend());
@@ -130,16 +132,16 @@
 // The response to prepare for a leader's message. None: the sender's term is outdated, which it has been
 // told.
 std::optional<Message> RaftNode::accept_leader_message(Millis now, const Message& m) {
-    Message answer = reply(Message::Kind::appended, m);
+    Message answer = reply(Message::Kind::append_response, m);
     answer.round = m.round;
     if (m.term < term_) {
         out_.push_back(std::move(answer));
         return {};
     }
     if (role_ == Role::leader && m.term == term_)
-        throw Broken("another member claims to lead in this leader's term");
+        throw ProtocolViolation("another member claims to lead in this leader's term");
     become_follower(now, m.term, m.from);
-    leader_heard_ = now;
+    last_leader_contact_ = now;
     answer.term = term_;
     return answer;
 }
@@ -192,12 +194,12 @@
         // An earlier run of this member had acknowledged more than its log holds now: its folder was rolled
         // back.
         ++counts_.rolled_back;
-        Message gone = reply(Message::Kind::gone, m);
+        Message gone = reply(Message::Kind::not_a_member, m);
         gone.run = m.run;
         out_.push_back(std::move(gone));
         return nullptr;
     }
-    peer.heard = now;
+    peer.last_contact = now;
     peer.active = true;
     peer.round = std::max(peer.round, std::min(m.round, round_));
     return &peer;
--- a/src/raft/snapshot_transfer.cpp
+++ b/src/raft/snapshot_transfer.cpp
@@ -134,8 +134,8 @@
     snapshot_changed_ = restored_ = true;
     commit_ = applied_ = snapshot.index;
     // Persisting the snapshot replaces the stored log, so the remaining entries are written again.
-    kept_ = snapshot.index;
-    unkept_from_ = log_.empty() ? 0 : first();
+    persisted_index_ = snapshot.index;
+    unpersisted_from_ = log_.empty() ? 0 : first();
     reload_members();
 }
 
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -15,10 +15,10 @@
 using Index = std::uint64_t;  // position of an entry in the log, starting at 1
 
 // Identifies one incarnation of a member, that is, one data folder. Initial members use their number + 1;
-// every later incarnation gets a random id of at least kFirstDrawn. A member that lost its folder comes back
-// under a new id, because it no longer knows which votes it has cast.
+// every later incarnation gets a random id of at least kFirstRandomId. A member that lost its folder comes
+// back under a new id, because it no longer knows which votes it has cast.
 using MemberId = std::uint64_t;
-constexpr MemberId kNoMember = 0, kFirstDrawn = 1ULL << 32;
+constexpr MemberId kNoMember = 0, kFirstRandomId = 1ULL << 32;
 
 constexpr std::size_t kMaxMembers = 9, kMaxEntryBytes = 1024 * 1024, kMaxSnapshotBytes = 8 * 1024 * 1024,
                       kMaxEntriesInMessage = 4096, kMaxMessageBytes = 2 * 1024 * 1024;
@@ -60,31 +60,31 @@
 
 // Identifies one process run of a member: the start counter stored in its folder and a random number.
 struct Run {
-    std::uint64_t starts = 0, draw = 0;
+    std::uint64_t starts = 0, nonce = 0;
     bool operator==(const Run&) const = default;
 };
 
 struct Message {
     enum class Kind : std::uint8_t {
-        ask_prevote,        // index, log_term: the sender's last entry; term: the one it would campaign in
-        prevote,            // ok; term: the requested one if granted, else the responder's own
-        ask_vote,           // index, log_term: the sender's last entry; ok: leadership transfer (timeout_now)
-        vote,               // ok
+        request_prevote,    // index, log_term: the sender's last entry; term: the one it would campaign in
+        prevote_response,   // ok; term: the requested one if granted, else the responder's own
+        request_vote,       // index, log_term: the sender's last entry; ok: leadership transfer (timeout_now)
+        vote_response,      // ok
         append,             // index, log_term: the entry before `entries`; commit, round
-        appended,           // ok: stored up to index; else index is a hint where to continue; last, round
+        append_response,    // ok: stored up to index; else index is a hint where to continue; last, round
         snapshot,           // obsolete and rejected; the number stays reserved
         join,               // without a receiver id: the sender is new and asks to become a member
-        gone,               // the receiver's run is not that of a member, or its folder was rolled back
+        not_a_member,       // the receiver's run is not that of a member, or its folder was rolled back
         snapshot_piece,     // piece, round
         snapshot_received,  // index: of the snapshot; offset: next byte expected; round
         timeout_now,        // leadership transfer: the receiver starts an election at once
     };
     Kind kind = Kind::append;
-    std::uint64_t fleet = 0;  // messages of another cluster are dropped
+    std::uint64_t cluster_id = 0;  // messages of another cluster are dropped
     MemberId from = kNoMember, to = kNoMember;
     std::uint32_t number = 0;     // the sender's member number
     std::uint32_t to_number = 0;  // the receiver's member number, for the transport; not on the wire
-    Run run;                      // the sender's; in `gone`: the receiver's
+    Run run;                      // the sender's; in `not_a_member`: the receiver's
     Term term = 0;
     Index index = 0, commit = 0, last = 0;
     Term log_term = 0;
@@ -96,8 +96,8 @@
 };
 
 // A member's persistent state, as read from its data folder.
-struct Stored {
-    std::uint64_t fleet = 0;
+struct PersistentState {
+    std::uint64_t cluster_id = 0;
     MemberId id = kNoMember;
     std::uint64_t starts = 0;
     Term term = 0;
--- a/src/sim/check/describe.cpp
+++ b/src/sim/check/describe.cpp
@@ -39,20 +39,25 @@
 
 std::uint64_t Describe::of(const raft::RaftNode& k, raft::Millis now) {
     Sum s(now);
-    s.number(k.id_).number(k.run_.starts).number(k.run_.draw).lots(k.lots_).number(k.term_).number(k.voted_);
+    s.number(k.id_)
+        .number(k.run_.starts)
+        .number(k.run_.nonce)
+        .lots(k.random_)
+        .number(k.term_)
+        .number(k.voted_);
     s.text(raft::encode(k.snapshot_));
     for (const raft::Entry& entry : k.log_) s.text(raft::encode(entry));
     s.text(raft::encode(k.members_))
         .number(k.members_at_)
         .number(k.commit_)
         .number(k.applied_)
-        .number(k.kept_);
-    s.number(k.unkept_from_).number(k.keeping_to_);
-    for (const bool flag : {k.taken_, k.vote_changed_, k.snapshot_changed_, k.restored_, k.retired_,
-                            k.retired_told_, k.round_wanted_})
+        .number(k.persisted_index_);
+    s.number(k.unpersisted_from_).number(k.persisting_to_);
+    for (const bool flag : {k.ready_taken_, k.vote_changed_, k.snapshot_changed_, k.restored_, k.retired_,
+                            k.retired_reported_, k.round_requested_})
         s.number(flag);
     s.number(static_cast<std::uint64_t>(k.role_)).number(k.leader_);
-    s.time(k.leader_heard_).time(k.election_due_).time(k.heartbeat_due_).time(k.join_due_);
+    s.time(k.last_leader_contact_).time(k.election_due_).time(k.heartbeat_due_).time(k.join_due_);
     for (const auto& [id, vote] : k.votes_) s.number(id).number(vote);
     for (const auto& [id, p] : k.peers_)
         s.number(id)
@@ -61,22 +66,23 @@
             .number(p.out_bytes)
             .time(p.progressed_at)
             .number(p.round)
-            .time(p.heard)
+            .time(p.last_contact)
             .number(p.transfer ? p.transfer->snapshot().index : 0)
             .number(p.transfer ? p.transfer->acknowledged() : 0)
             .number(p.transfer ? p.transfer->sent() : 0)
             .number(p.active)
             .number(p.match_known)
             .number(p.match_starts);
-    for (const auto& [id, seen] : k.seen_)
-        s.number(id).number(seen.run.starts).number(seen.run.draw).number(seen.term);
-    for (const auto& [number, joiner] : k.joiners_) s.number(number).number(joiner.id).time(joiner.heard);
-    s.number(k.term_start_).number(k.commit_before_).number(k.round_);
-    for (const auto& q : k.questions_) s.number(q.number).number(q.round);
-    for (const auto q : k.confirmed_) s.number(q);
+    for (const auto& [id, seen] : k.known_runs_)
+        s.number(id).number(seen.run.starts).number(seen.run.nonce).number(seen.term);
+    for (const auto& [number, joiner] : k.joiners_)
+        s.number(number).number(joiner.id).time(joiner.last_contact);
+    s.number(k.term_start_).number(k.previous_commit_).number(k.round_);
+    for (const auto& q : k.pending_reads_) s.number(q.number).number(q.round);
+    for (const auto q : k.confirmed_reads_) s.number(q);
     s.number(k.transfer_to_)
         .time(k.transfer_until_)
-        .number(k.transfer_asked_)
+        .number(k.transfer_requested_)
         .number(k.receiver_.held_bytes());
     s.number(k.out_.size());
     return s.get();
--- a/src/sim/check/lease_check.cpp
+++ b/src/sim/check/lease_check.cpp
@@ -58,8 +58,8 @@
         for (std::size_t k = 0; k < kKeepers; ++k) {
             // At both ends of what clocks may do: keepers fast, so that they wait too short, holders slow.
             rate_[k] = 1 + kOff;
-            disks_[k] =
-                std::make_shared<raft::Stored>(raft::bootstrap(7, static_cast<std::uint32_t>(k), kKeepers));
+            disks_[k] = std::make_shared<raft::PersistentState>(
+                raft::bootstrap(7, static_cast<std::uint32_t>(k), kKeepers));
             boot(k);
         }
         for (std::size_t h = 0; h < kHolders; ++h) {
@@ -110,7 +110,7 @@
             } else {
                 pass_time();
             }
-        } catch (const raft::Broken& fault) {
+        } catch (const raft::ProtocolViolation& fault) {
             broken(fault.what());
         }
         look();
@@ -243,12 +243,12 @@
     // ---- Processes ---------------------------------------------------------------------------------------
 
     void boot(std::size_t k) {
-        raft::Stored& disk = own(disks_[k]);
+        raft::PersistentState& disk = own(disks_[k]);
         ++disk.starts;
         lease::OfficeSettings s;
-        s.agree.fleet = 7;
+        s.agree.cluster_id = 7;
         s.agree.number = static_cast<std::uint32_t>(k);
-        s.agree.keepers = kKeepers;
+        s.agree.member_slots = kKeepers;
         s.agree.heartbeat = kHeartbeat, s.agree.election = kElection;
         s.drift = what_.out == Guard::no_drift ? 0 : kDrift;
         s.waiter_silence = 2000;
@@ -274,7 +274,7 @@
             while (office.ready()) {
                 lease::Office::Output output = office.take(clock(k));
                 const raft::Ready& ready = output.ready;
-                raft::Stored& disk = own(disks_[k]);
+                raft::PersistentState& disk = own(disks_[k]);
                 if (ready.vote && what_.out != Guard::vote_not_written)
                     disk.term = ready.vote->term, disk.voted = ready.vote->voted;
                 if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
@@ -285,7 +285,7 @@
                 // A log's terms are its keeper's at least, also where its vote is not written.
                 if (!disk.entries.empty()) disk.term = std::max(disk.term, disk.entries.back().term);
                 if (ready.retired) {
-                    disk = raft::newcomer(7, raft::kFirstDrawn + 100 * k + disk.starts);
+                    disk = raft::newcomer(7, raft::kFirstRandomId + 100 * k + disk.starts);
                     return die(k);
                 }
                 office.stored();
@@ -304,7 +304,7 @@
                           std::make_shared<const std::string>(lease::encode(reply.answer)),
                           Flight::Kind::answer, 0});
             }
-        } catch (const raft::Broken& fault) {
+        } catch (const raft::ProtocolViolation& fault) {
             broken(name(k) + ": " + fault.what());
         }
     }
@@ -441,7 +441,7 @@
     unsigned left_;
     Millis now_ = 0, end_ = 0;
     std::array<double, kKeepers + kHolders> rate_{};
-    std::array<std::shared_ptr<raft::Stored>, kKeepers> disks_;
+    std::array<std::shared_ptr<raft::PersistentState>, kKeepers> disks_;
     std::array<std::shared_ptr<lease::Office>, kKeepers> offices_;
     std::array<std::shared_ptr<lease::Holder>, kHolders> holders_;
     mutable std::array<std::uint64_t, kKeepers> described_{};  // 0: to be made anew
--- a/src/sim/models/holder.cpp
+++ b/src/sim/models/holder.cpp
@@ -1,7 +1,7 @@
 #include "sim/models/holder.hpp"
 
 #include "lease/codec.hpp"
-#include "store/sealed.hpp"
+#include "store/checksum.hpp"
 
 namespace cobaltshift::sim {
 
@@ -177,9 +177,9 @@
 
 void HolderDesk::send(const std::string& task, lease::Fence fence) {
     Target* target = scene_.all<Target>().at(0);
-    scene_.network.send(endpoint_, target->endpoint(), store::sealed(task),
+    scene_.network.send(endpoint_, target->endpoint(), store::append_checksum(task),
                         [this, target, fence](const std::string& bytes) {
-                            if (const auto task = store::unsealed(bytes))
+                            if (const auto task = store::verify_checksum(bytes))
                                 target->act(std::string(*task), number_, fence);
                         });
 }
--- a/src/sim/models/keeper.cpp
+++ b/src/sim/models/keeper.cpp
@@ -56,7 +56,7 @@
 }
 
 void KeeperDesk::newcomer() {
-    const raft::MemberId id = raft::kFirstDrawn + lots_.below(1ULL << 60);
+    const raft::MemberId id = raft::kFirstRandomId + lots_.below(1ULL << 60);
     disk_.write("new", store::records_of(raft::newcomer(kFleet, id)));
     disk_.sync("new");
     disk_.rename("new", kFile);
@@ -67,11 +67,11 @@
 void KeeperDesk::boot() {
     if (office_) return;
     store::Replayed found = store::replay(disk_.read(kFile).value_or(""));
-    if (found.found == store::Replayed::Found::spoilt) scene_.figure("spoilt folders") += 1;
-    if (found.found == store::Replayed::Found::spoilt || found.found == store::Replayed::Found::nothing) {
+    if (found.found == store::Replayed::Found::corrupt) scene_.figure("spoilt folders") += 1;
+    if (found.found == store::Replayed::Found::corrupt || found.found == store::Replayed::Found::nothing) {
         newcomer();
         found = store::replay(disk_.read(kFile).value_or(""));
-        if (found.found != store::Replayed::Found::whole) return;  // a full disk: not before the next start
+        if (found.found != store::Replayed::Found::intact) return;  // a full disk: not before the next start
     }
     if (found.found == store::Replayed::Found::torn) scene_.figure("torn tails") += 1;
     // One more run, and the tail cut off, before anything is said.
@@ -85,9 +85,9 @@
     head_.snapshot = {};
     ++life_;
     lease::OfficeSettings s;
-    s.agree.fleet = kFleet;
+    s.agree.cluster_id = kFleet;
     s.agree.number = static_cast<std::uint32_t>(number_);
-    s.agree.keepers = settings_.keepers;
+    s.agree.member_slots = settings_.keepers;
     s.agree.heartbeat = settings_.heartbeat;
     s.agree.election = settings_.election;
     s.drift = settings_.drift;
@@ -168,7 +168,7 @@
             next();
         }
         if (life_ == life && !busy_ && !paused_) pump();
-    } catch (const raft::Broken& fault) {
+    } catch (const raft::ProtocolViolation& fault) {
         scene_.broken("agreement", keeper_name(number_) + ": " + fault.what(), keeper_name(number_));
         stop();
     }
@@ -204,7 +204,7 @@
     const raft::Ready& ready = output.ready;
     if (!ready.writes()) return true;
     if (ready.snapshot) {
-        raft::Stored all = head_;
+        raft::PersistentState all = head_;
         all.term = office_->keeper().term();
         all.voted = office_->keeper().voted();
         all.snapshot = *ready.snapshot;
--- a/src/sim/models/keeper.hpp
+++ b/src/sim/models/keeper.hpp
@@ -76,7 +76,7 @@
     const OwnClock clock_;
     std::unique_ptr<lease::Office> office_;
     std::uint64_t life_ = 0, timer_ = 0;
-    raft::Stored head_;  // what the journal's head says: fleet, id, starts
+    raft::PersistentState head_;  // what the journal's head says: fleet, id, starts
     bool paused_ = false, busy_ = false, die_in_write_ = false, leads_ = false;
     Millis slow_ = 0;
     std::deque<Task> inbox_;  // while paused or busy
--- a/src/sim_mesh/control_callers.cpp
+++ b/src/sim_mesh/control_callers.cpp
@@ -183,7 +183,7 @@
         case Kind::unavailable:
             return again(caller);
         case Kind::config:
-        case Kind::nothing_yet:
+        case Kind::no_config:
             operation.seen_change = reply.current ? change_of(*reply.current) : 0;
             operation.seen_edition = reply.current ? reply.current->edition : 0;
             newest_known_edition_ = std::max(newest_known_edition_, operation.seen_edition);
--- a/src/sim_mesh/control_cluster.cpp
+++ b/src/sim_mesh/control_cluster.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kMostQueue = 80;  // of what the kernel holds of a connection, on the narrowest link
 constexpr std::size_t kLongestDatagram = 1200;  // as control_io/peers.hpp
 
-void keep(raft::Stored& disk, const raft::Ready& ready) {
+void keep(raft::PersistentState& disk, const raft::Ready& ready) {
     if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
     if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
     if (ready.from > 0) {
@@ -38,15 +38,15 @@
     if (!hub.disk) {
         const bool founder = hub.first_boot;
         hub.disk = founder ? control::bootstrap(kFleet, ip, seeds)
-                           : raft::newcomer(kFleet, raft::kFirstDrawn + draw());
+                           : raft::newcomer(kFleet, raft::kFirstRandomId + draw());
         ++hub.lives;
     }
     ++hub.disk->starts;
     ++hub.runs;
-    settings.agree.fleet = kFleet;
-    settings.agree.number = ip;
-    settings.agree.keepers = UINT32_MAX;
-    settings.agree.election = kElection;
+    settings.consensus.cluster_id = kFleet;
+    settings.consensus.number = ip;
+    settings.consensus.member_slots = UINT32_MAX;
+    settings.consensus.election = kElection;
     hub.replica = std::make_unique<control::Replica>(settings, *hub.disk, now, draw());
     pump(ip);
 }
@@ -98,7 +98,7 @@
     if (!reads_need_majority && replica->raft().leads()) {
         answer_at_once(client,
                        replica->state_machine().current() ? control::Reply::Kind::config
-                                                          : control::Reply::Kind::nothing_yet,
+                                                          : control::Reply::Kind::no_config,
                        *replica);
         return client;
     }
--- a/src/sim_mesh/control_cluster.hpp
+++ b/src/sim_mesh/control_cluster.hpp
@@ -30,8 +30,8 @@
 class ControlCluster {
 public:
     struct Hub {
-        std::optional<raft::Stored> disk;
-        std::optional<raft::Stored> disk_before;  // the last batch, where syncs are taken out
+        std::optional<raft::PersistentState> disk;
+        std::optional<raft::PersistentState> disk_before;  // the last batch, where syncs are taken out
         std::unique_ptr<control::Replica> replica;
         bool first_boot = false, frozen = false;
         Millis sync_ms = 1, busy_until = 0;
--- a/src/sim_mesh/control_schedule.cpp
+++ b/src/sim_mesh/control_schedule.cpp
@@ -13,11 +13,13 @@
 // All that a replica knows, as one number; see Describe.
 struct DescribeReplica {
     static std::uint64_t of(const control::Replica& replica, raft::Millis now) {
-        std::vector<std::uint64_t> sum{Describe::of(replica.raft_, now), replica.applied_, replica.busy_,
-                                       replica.term_, replica.checkpoint_ ? replica.checkpoint_->index : 0};
+        std::vector<std::uint64_t> sum{Describe::of(replica.raft_, now), replica.applied_,
+                                       replica.change_in_flight_, replica.term_,
+                                       replica.checkpoint_ ? replica.checkpoint_->index : 0};
         const std::string state = replica.state_machine_.save();
         sum.push_back(XXH3_64bits(state.data(), state.size()));
-        for (const raft::Millis at : {replica.leader_heard_, replica.lost_at_, replica.looked_at_})
+        for (const raft::Millis at :
+             {replica.last_leader_contact_, replica.membership_query_due_, replica.last_silence_check_})
             sum.push_back(from_now(at, now));
         for (const auto& one : replica.waiting_)
             sum.insert(sum.end(), {one.client, one.is_change, from_now(one.until, now), one.question,
@@ -50,7 +52,7 @@
 Schedule::Schedule(const ControlCheck& what) : what_(what) {
     for (std::size_t m = 0; m < kMembers; ++m) {
         const std::vector<std::uint32_t> founders{kFirstIp, kFirstIp + 1, kFirstIp + 2};
-        disks_[m] = std::make_shared<raft::Stored>(
+        disks_[m] = std::make_shared<raft::PersistentState>(
             control::bootstrap(kFleet, kFirstIp + static_cast<std::uint32_t>(m), founders));
         boot(m);
     }
@@ -77,7 +79,7 @@
         } else {
             pass_time();
         }
-    } catch (const raft::Broken& fault) {
+    } catch (const raft::ProtocolViolation& fault) {
         broken(fault.what());
     }
     if (now_ >= end_ && broken_.empty()) check_history();
@@ -190,15 +192,16 @@
 // ---- Processes ------------------------------------------------------------
 
 void Schedule::boot(std::size_t m) {
-    raft::Stored& disk = own(disks_[m]);
+    raft::PersistentState& disk = own(disks_[m]);
     ++disk.starts;
     control::ReplicaSettings settings;
-    settings.agree.fleet = kFleet;
-    settings.agree.number = kFirstIp + static_cast<std::uint32_t>(m);
-    settings.agree.keepers = UINT32_MAX;
-    settings.agree.heartbeat = kHeartbeat, settings.agree.election = kElection;
-    settings.answer_within = kSilence, settings.leader_fresh = kElection, settings.removed_after = 600;
-    settings.lost_after = 400;
+    settings.consensus.cluster_id = kFleet;
+    settings.consensus.number = kFirstIp + static_cast<std::uint32_t>(m);
+    settings.consensus.member_slots = UINT32_MAX;
+    settings.consensus.heartbeat = kHeartbeat, settings.consensus.election = kElection;
+    settings.reply_timeout = kSilence, settings.leader_contact_max_age = kElection,
+    settings.remove_silent_after = 600;
+    settings.leaderless_after = 400;
     settings.checkpoint_entries = 2;  // snapshots soon, and on their way while all goes on
     replicas_[m] =
         std::make_shared<Replica>(settings, disk, clock(), what_.seed * 1000 + m * 100 + disk.starts);
@@ -212,9 +215,9 @@
 }
 
 void Schedule::wipe(std::size_t m) {
-    raft::Stored& disk = own(disks_[m]);
+    raft::PersistentState& disk = own(disks_[m]);
     if (what_.out != Safeguard::lost_disk_is_another_member) {
-        disk = raft::newcomer(kFleet, raft::kFirstDrawn + 100 * m + disk.starts + 1);
+        disk = raft::newcomer(kFleet, raft::kFirstRandomId + 100 * m + disk.starts + 1);
         return;
     }
     const std::vector<std::uint32_t> founders{kFirstIp, kFirstIp + 1, kFirstIp + 2};
@@ -227,7 +230,8 @@
     replicas_[m].reset();
     disks_[m].reset();
     back_[m] = 0;
-    disks_[spare] = std::make_shared<raft::Stored>(raft::newcomer(kFleet, raft::kFirstDrawn + 1000 + spare));
+    disks_[spare] =
+        std::make_shared<raft::PersistentState>(raft::newcomer(kFleet, raft::kFirstRandomId + 1000 + spare));
     back_[spare] = now_ + kBack;
 }
 
@@ -244,7 +248,7 @@
         const control::Output output = replica.take_output(clock());
         keep(m, output.ready);
         if (output.ready.retired) {
-            own(disks_[m]) = raft::newcomer(kFleet, raft::kFirstDrawn + 100 * m + disks_[m]->starts + 50);
+            own(disks_[m]) = raft::newcomer(kFleet, raft::kFirstRandomId + 100 * m + disks_[m]->starts + 50);
             return die(m);
         }
         replica.persisted();
@@ -269,7 +273,7 @@
 }
 
 void Schedule::keep(std::size_t m, const raft::Ready& ready) {
-    raft::Stored& disk = own(disks_[m]);
+    raft::PersistentState& disk = own(disks_[m]);
     if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
     if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
     if (ready.from > 0) {
--- a/src/sim_mesh/control_schedule.hpp
+++ b/src/sim_mesh/control_schedule.hpp
@@ -116,7 +116,7 @@
     const ControlCheck what_;
     unsigned left_ = 0;
     Millis now_ = 0, start_ = 0, end_ = 0;
-    std::array<std::shared_ptr<raft::Stored>, kMachines> disks_;
+    std::array<std::shared_ptr<raft::PersistentState>, kMachines> disks_;
     std::array<std::shared_ptr<control::Replica>, kMachines> replicas_;
     mutable std::array<std::uint64_t, kMachines> described_{};  // 0: to be made anew
     std::array<Millis, kMachines> back_{}, deaf_{}, mute_{}, stops_{};
--- a/src/sim_mesh/control_schedule_calls.cpp
+++ b/src/sim_mesh/control_schedule_calls.cpp
@@ -94,7 +94,7 @@
     reply.edition = replica.state_machine().edition();
     const bool reads = operation.kind == Operation::Kind::read;
     if (reads && what_.out == Safeguard::majority_for_readings) {
-        reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::nothing_yet;
+        reply.kind = reply.current ? Reply::Kind::config : Reply::Kind::no_config;
     } else if (!reads && reply.edition != operation.base && what_.out == Safeguard::majority_for_refusals &&
                operation.change > 1) {
         reply.kind = Reply::Kind::stale;
@@ -124,7 +124,7 @@
             at->until = now_ + kBack;
             return;
         case Reply::Kind::config:
-        case Reply::Kind::nothing_yet:
+        case Reply::Kind::no_config:
             operation.answer = Operation::Answer::value;
             operation.seen_change = reply.current ? change_of(*reply.current) : 0;
             break;
--- a/src/sim_mesh/hub.cpp
+++ b/src/sim_mesh/hub.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t kFleet = 77;
 constexpr Millis kStoreAgain = 300, kLookAtHubs = 250;  // as control_io and programs/control.cpp
 
-void keep(raft::Stored& disk, const raft::Ready& ready) {
+void keep(raft::PersistentState& disk, const raft::Ready& ready) {
     if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
     if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
     if (ready.from > 0) {
@@ -47,14 +47,14 @@
     if (disk_.full) return refuses();
     if (!disk_.stored)
         disk_.stored = first_boot_ ? control::bootstrap(kFleet, ip_, world_.seeds())
-                                   : raft::newcomer(kFleet, raft::kFirstDrawn + (world_.draw() >> 4));
+                                   : raft::newcomer(kFleet, raft::kFirstRandomId + (world_.draw() >> 4));
     ++disk_.stored->starts;
     control::ReplicaSettings settings;
-    settings.agree.fleet = kFleet;
-    settings.agree.number = ip_;
-    settings.agree.keepers = UINT32_MAX;
-    settings.agree.heartbeat = 100;
-    settings.agree.election = 600;
+    settings.consensus.cluster_id = kFleet;
+    settings.consensus.number = ip_;
+    settings.consensus.member_slots = UINT32_MAX;
+    settings.consensus.heartbeat = 100;
+    settings.consensus.election = 600;
     replica_ = std::make_unique<control::Replica>(settings, *disk_.stored, now(), world_.draw());
     event([] {});
 }
@@ -119,7 +119,7 @@
 
 void Hub::carry_out(const control::Output& output) {
     if (output.ready.retired) {
-        disk_.stored = raft::newcomer(kFleet, raft::kFirstDrawn + (world_.draw() >> 4));
+        disk_.stored = raft::newcomer(kFleet, raft::kFirstRandomId + (world_.draw() >> 4));
         const auto calls = std::exchange(calls_, {});
         for (const auto& [client, done] : calls) done(control::Reply());
         return open();
--- a/src/sim_mesh/hub.hpp
+++ b/src/sim_mesh/hub.hpp
@@ -12,7 +12,7 @@
 namespace cobaltshift::simmesh {
 
 struct Disk {
-    std::optional<raft::Stored> stored;
+    std::optional<raft::PersistentState> stored;
     Millis sync = 1;                   // of a batch
     bool full = false, hangs = false;  // refuses writes; never returns from them
 };
--- a/src/store/sealed.hpp
+++ b/src/store/checksum.hpp
@@ -19,12 +19,12 @@
     return checksum;
 }
 // Appends the checksum.
-inline std::string sealed(std::string bytes) {
+inline std::string append_checksum(std::string bytes) {
     const std::string checksum = checksum_of(bytes);
     return std::move(bytes += checksum);
 }
 // The bytes without their checksum. None if they are too short or the checksum does not match.
-inline std::optional<std::string_view> unsealed(std::string_view bytes) {
+inline std::optional<std::string_view> verify_checksum(std::string_view bytes) {
     if (bytes.size() < kChecksumBytes) return {};
     const std::string_view body = bytes.substr(0, bytes.size() - kChecksumBytes);
     if (checksum_of(body) != bytes.substr(body.size())) return {};
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -1,8 +1,8 @@
 #include "store/journal.hpp"
 
 #include "raft/codec.hpp"
+#include "store/checksum.hpp"
 #include "store/fields.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift::store {
 
@@ -14,7 +14,7 @@
 std::string make_record(Kind kind, const std::string& body) {
     std::string head(1, static_cast<char>(kind));
     for (int i = 0; i < 4; ++i) head.push_back(static_cast<char>(body.size() >> 8 * i));
-    return sealed(std::move(head)) + sealed(body);
+    return append_checksum(std::move(head)) + append_checksum(body);
 }
 
 std::string encode_pair(std::uint64_t first, std::uint64_t second) {
@@ -74,8 +74,8 @@
     return bytes;
 }
 
-std::string records_of(const raft::Stored& stored) {
-    std::string bytes = make_record(Kind::identity, encode_pair(stored.fleet, stored.id)) +
+std::string records_of(const raft::PersistentState& stored) {
+    std::string bytes = make_record(Kind::identity, encode_pair(stored.cluster_id, stored.id)) +
                         make_record(Kind::starts, encode_pair(stored.starts, 0)) +
                         make_record(Kind::vote, encode_pair(stored.term, stored.voted)) +
                         make_record(Kind::snapshot, raft::encode(stored.snapshot));
@@ -86,31 +86,31 @@
 
 Replayed replay(std::string_view bytes) {
     Replayed result;
-    raft::Stored& s = result.stored;
+    raft::PersistentState& s = result.stored;
     if (bytes.empty()) return result;
-    result.found = Replayed::Found::whole;
+    result.found = Replayed::Found::intact;
     bool has_member_id = false;
     const auto corrupt = [&](const std::string& why) {
-        result.found = Replayed::Found::spoilt;
+        result.found = Replayed::Found::corrupt;
         result.why = "at byte " + std::to_string(result.good) + ": " + why;
         return result;
     };
     while (result.good < bytes.size()) {
         const std::string_view left = bytes.substr(result.good);
         if (left.size() < kHeaderBytes) break;
-        const auto head = unsealed(left.substr(0, kHeaderBytes));
+        const auto head = verify_checksum(left.substr(0, kHeaderBytes));
         if (!head) return corrupt("checksum mismatch in a record header");
         std::size_t length = 0;
         for (int i = 0; i < 4; ++i)
             length |= static_cast<std::size_t>(static_cast<unsigned char>((*head)[1 + i])) << 8 * i;
         if (left.size() < kHeaderBytes + length + kChecksumBytes) break;
-        const auto body = unsealed(left.substr(kHeaderBytes, length + kChecksumBytes));
+        const auto body = verify_checksum(left.substr(kHeaderBytes, length + kChecksumBytes));
         if (!body) return corrupt("checksum mismatch in a record");
         try {
             switch (static_cast<Kind>((*head)[0])) {
                 case Kind::identity: {
                     const Pair pair = decode_pair(*body, 0);
-                    s.fleet = pair.first, s.id = pair.second, has_member_id = true;
+                    s.cluster_id = pair.first, s.id = pair.second, has_member_id = true;
                     break;
                 }
                 case Kind::starts:
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -14,19 +14,19 @@
 // The records to append for what `ready` asks to persist. `ready` must not have a snapshot.
 std::string records_of(const raft::Ready& ready);
 // A complete file that replays to `stored`.
-std::string records_of(const raft::Stored& stored);
+std::string records_of(const raft::PersistentState& stored);
 
 struct Replayed {
     enum class Found {
         nothing,  // empty, or torn before the member id was written
-        whole,    // intact
+        intact,   // intact
         torn,     // intact up to `good`, followed by an incomplete record
-        spoilt,   // corrupt; `stored` must not be used
+        corrupt,  // corrupt; `stored` must not be used
     };
     Found found = Found::nothing;
-    raft::Stored stored;
+    raft::PersistentState stored;
     std::size_t good = 0;  // size in bytes of the intact records at the start of the file
-    std::string why;       // if spoilt: the reason
+    std::string why;       // if corrupt: the reason
 };
 Replayed replay(std::string_view bytes);
 
--- a/src/store_io/folder.cpp
+++ b/src/store_io/sqlite_storage.cpp
@@ -1,4 +1,4 @@
-#include "store_io/folder.hpp"
+#include "store_io/sqlite_storage.hpp"
 
 #include <sqlite3.h>
 
@@ -6,8 +6,8 @@
 #include <optional>
 
 #include "raft/codec.hpp"
+#include "store/checksum.hpp"
 #include "store/fields.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift::store {
 
@@ -22,7 +22,7 @@
 public:
     Statement(sqlite3* db, const char* sql) {
         if (sqlite3_prepare_v2(db, sql, -1, &statement_, nullptr) != SQLITE_OK)
-            throw FolderError(sqlite3_errmsg(db));
+            throw StorageError(sqlite3_errmsg(db));
     }
     ~Statement() { sqlite3_finalize(statement_); }
     Statement(const Statement&) = delete;
@@ -69,43 +69,43 @@
 
 }  // namespace
 
-void Folder::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
+void SqliteStorage::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
 
-Folder::Folder(std::string path) : path_(std::move(path)) {
+SqliteStorage::SqliteStorage(std::string path) : path_(std::move(path)) {
     std::error_code ec;
-    if (!std::filesystem::is_directory(path_, ec)) throw FolderError("folder " + path_ + " does not exist");
+    if (!std::filesystem::is_directory(path_, ec)) throw StorageError("folder " + path_ + " does not exist");
     try {
         open();
         read();
-    } catch (const FolderError&) {
+    } catch (const StorageError&) {
         // A file that is not a database or has damaged pages makes the folder damaged. Other errors say
         // nothing about its contents and are passed on.
         const int code = db_ ? sqlite3_errcode(db_.get()) : SQLITE_CANTOPEN;
         if (code != SQLITE_NOTADB && code != SQLITE_CORRUPT) throw;
-        found_ = Found::spoilt;
+        found_ = Found::corrupt;
         why_ = sqlite3_errmsg(db_.get());
     }
 }
 
-Folder::~Folder() = default;
+SqliteStorage::~SqliteStorage() = default;
 
-void Folder::fail(const std::string& what) const {
+void SqliteStorage::fail(const std::string& what) const {
     const std::string text = "folder " + path_ + ": " + what + ": " + sqlite3_errmsg(db_.get());
-    if (sqlite3_errcode(db_.get()) == SQLITE_FULL) throw FolderFull(text);
-    throw FolderError(text);
+    if (sqlite3_errcode(db_.get()) == SQLITE_FULL) throw StorageFull(text);
+    throw StorageError(text);
 }
 
-void Folder::run(const char* sql) {
+void SqliteStorage::run(const char* sql) {
     if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(sql);
 }
 
-void Folder::open() {
+void SqliteStorage::open() {
     sqlite3* db = nullptr;
     const int opened =
         sqlite3_open_v2((path_ + kFile).c_str(), &db,
                         SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
     db_.reset(db);
-    if (!db) throw FolderError("folder " + path_ + ": out of memory opening the database");
+    if (!db) throw StorageError("folder " + path_ + ": out of memory opening the database");
     if (opened != SQLITE_OK) fail("can't open the database");
     // Exclusive locking keeps a second process out of the same folder and needs no shared memory.
     run("PRAGMA locking_mode=EXCLUSIVE");
@@ -118,11 +118,11 @@
     run("COMMIT");
 }
 
-void Folder::read() {
+void SqliteStorage::read() {
     found_ = Found::nothing;
     stored_ = {};
     const auto mark_corrupt = [&](const std::string& why) {
-        found_ = Found::spoilt;
+        found_ = Found::corrupt;
         why_ = why;
     };
     {
@@ -130,8 +130,8 @@
         if (sqlite3_step(format.get()) != SQLITE_ROW) fail("can't read the format version");
         const int version = sqlite3_column_int(format.get(), 0);
         if (version > kFormat)
-            throw FolderError("folder " + path_ + " has format " + std::to_string(version) +
-                              "; this program supports up to " + std::to_string(kFormat));
+            throw StorageError("folder " + path_ + " has format " + std::to_string(version) +
+                               "; this program supports up to " + std::to_string(kFormat));
     }
     const auto each = [&](const char* sql, const auto& accept) {
         Statement rows(db_.get(), sql);
@@ -156,7 +156,7 @@
             each("SELECT place, bytes FROM state ORDER BY place", [&](auto key, const auto& bytes) {
                 switch (key) {
                     case RowKey::identity:
-                        std::tie(stored_.fleet, stored_.id) = decode_pair(bytes);
+                        std::tie(stored_.cluster_id, stored_.id) = decode_pair(bytes);
                         break;
                     case RowKey::starts:
                         starts_ = stored_.starts = decode_pair(bytes).first;
@@ -194,24 +194,24 @@
     constexpr unsigned kAll =
         1U << RowKey::identity | 1U << RowKey::starts | 1U << RowKey::vote | 1U << RowKey::snapshot;
     if (seen == kAll && stored_.id != raft::kNoMember)
-        found_ = Found::whole;
+        found_ = Found::intact;
     else if (seen != 0 || !stored_.entries.empty())
         mark_corrupt("a part of its state is missing");
 }
 
 // The database and its write-ahead log are renamed together, or SQLite would apply the old log to the new
 // database.
-void Folder::set_aside() {
+void SqliteStorage::set_aside() {
     db_.reset();
     for (const char* tail : {"", "-wal", "-shm", "-journal"}) {
         std::error_code ec;
         const std::string from = path_ + kFile + tail;
         if (std::filesystem::exists(from, ec)) std::filesystem::rename(from, path_ + "/former.db" + tail, ec);
-        if (ec) throw FolderError("folder " + path_ + ": can't rename " + from + ": " + ec.message());
+        if (ec) throw StorageError("folder " + path_ + ": can't rename " + from + ": " + ec.message());
     }
 }
 
-void Folder::begin(const raft::Stored& stored) {
+void SqliteStorage::begin(const raft::PersistentState& stored) {
     if (found_ != Found::nothing) {
         set_aside();
         open();
@@ -222,7 +222,7 @@
     run("DELETE FROM state");
     run("DELETE FROM entries");
     const std::string sql = "INSERT INTO state VALUES (?1, ?2)";
-    put(sql.c_str(), RowKey::identity, encode_pair(stored.fleet, stored.id));
+    put(sql.c_str(), RowKey::identity, encode_pair(stored.cluster_id, stored.id));
     put(sql.c_str(), RowKey::starts, encode_pair(stored.starts, 0));
     put(sql.c_str(), RowKey::vote, encode_pair(stored.term, stored.voted));
     put(sql.c_str(), RowKey::snapshot, raft::encode(stored.snapshot));
@@ -231,12 +231,12 @@
         put("INSERT INTO entries VALUES (?1, ?2)", index++, raft::encode(entry));
     run("COMMIT");
     ++transactions_;
-    found_ = Found::whole;
+    found_ = Found::intact;
     starts_ = stored.starts;
     stored_ = stored;
 }
 
-std::uint64_t Folder::start() {
+std::uint64_t SqliteStorage::start() {
     run("BEGIN IMMEDIATE");
     put("REPLACE INTO state VALUES (?1, ?2)", RowKey::starts, encode_pair(starts_ + 1, 0));
     run("COMMIT");
@@ -244,7 +244,7 @@
     return ++starts_;
 }
 
-void Folder::put(const char* sql, std::uint64_t key, const std::string& bytes) {
+void SqliteStorage::put(const char* sql, std::uint64_t key, const std::string& bytes) {
     Statement statement(db_.get(), sql);
     const std::string row = encode_row(key, bytes);
     sqlite3_bind_int64(statement.get(), 1, static_cast<sqlite3_int64>(key));
@@ -252,7 +252,7 @@
     if (sqlite3_step(statement.get()) != SQLITE_DONE) fail(sql);
 }
 
-void Folder::keep(const raft::Ready& ready) {
+void SqliteStorage::keep(const raft::Ready& ready) {
     if (!ready.writes()) return;
     const char* put_state = "REPLACE INTO state VALUES (?1, ?2)";
     run("BEGIN IMMEDIATE");
@@ -272,7 +272,7 @@
                 put("INSERT INTO entries VALUES (?1, ?2)", index++, raft::encode(entry));
         }
         run("COMMIT");
-    } catch (const FolderError&) {
+    } catch (const StorageError&) {
         sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
         throw;
     }
--- a/src/store_io/folder.hpp
+++ b/src/store_io/sqlite_storage.hpp
@@ -1,8 +1,8 @@
 // Persistent storage of a Raft member's state in one SQLite database (WAL, synchronous=FULL), which one
-// process at a time can open. Main type: Folder, used by lease::KeeperNode. Not thread-safe. Everything that
-// a raft::Ready asks to persist is one transaction, which is synced when keep() returns. Each row has a
-// checksum over its contents and its key, so that damaged and misplaced rows are detected: a member must not
-// vote with a damaged state.
+// process at a time can open. Main type: SqliteStorage, used by lease::KeeperNode. Not thread-safe.
+// Everything that a raft::Ready asks to persist is one transaction, which is synced when keep() returns. Each
+// row has a checksum over its contents and its key, so that damaged and misplaced rows are detected: a member
+// must not vote with a damaged state.
 //
 // Two faults can't be detected here. SQLite ends its write-ahead log at the first frame with a wrong
 // checksum, so a damaged tail of the log looks as if it had never been written. A folder restored from a
@@ -22,37 +22,37 @@
 
 // The folder can't be used: it does not exist, is not writable, is in use by another process, is full, has a
 // newer format, or its disk has failed.
-struct FolderError : std::runtime_error {
+struct StorageError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // No space left on the device. Nothing has changed, and the folder may be opened and used again.
-struct FolderFull : FolderError {
-    using FolderError::FolderError;
+struct StorageFull : StorageError {
+    using StorageError::StorageError;
 };
 
-class Folder {
+class SqliteStorage {
 public:
     // State of the folder when it was opened: new, intact, or damaged.
-    enum class Found { nothing, whole, spoilt };
+    enum class Found { nothing, intact, corrupt };
 
-    // Opens or creates the database in the existing folder `path` and reads all of it. Throws FolderError.
-    explicit Folder(std::string path);
-    ~Folder();
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    // Opens or creates the database in the existing folder `path` and reads all of it. Throws StorageError.
+    explicit SqliteStorage(std::string path);
+    ~SqliteStorage();
+    SqliteStorage(const SqliteStorage&) = delete;
+    SqliteStorage& operator=(const SqliteStorage&) = delete;
 
     Found found() const { return found_; }
-    const std::string& why() const { return why_; }  // if spoilt: the reason
+    const std::string& why() const { return why_; }  // if corrupt: the reason
     // Moves out the state of an intact folder.
-    raft::Stored take_stored() { return std::move(stored_); }
+    raft::PersistentState take_stored() { return std::move(stored_); }
 
     // Starts over with `stored`. An existing database is renamed to `former.db`, replacing an earlier one.
-    void begin(const raft::Stored& stored);
+    void begin(const raft::PersistentState& stored);
     // Increments the start counter of the stored member, synced, and returns it. Must be called before any
     // message is sent.
     std::uint64_t start();
-    // Persists what `ready` asks for in one transaction, synced. If it throws FolderError, none of it was
+    // Persists what `ready` asks for in one transaction, synced. If it throws StorageError, none of it was
     // applied.
     void keep(const raft::Ready& ready);
 
@@ -74,7 +74,7 @@
     std::unique_ptr<sqlite3, Close> db_;
     Found found_ = Found::nothing;
     std::string why_;
-    raft::Stored stored_;
+    raft::PersistentState stored_;
     std::uint64_t starts_ = 0, transactions_ = 0;
 };
 
--- a/tests/lease_io_test.cpp
+++ b/tests/lease_io_test.cpp
@@ -11,13 +11,13 @@
 #include "lease_io/keeper_node.hpp"
 #include "lease_io/rights.hpp"
 #include "raft/codec.hpp"
-#include "store_io/folder.hpp"
+#include "store_io/sqlite_storage.hpp"
 
 namespace cobaltshift {
 namespace {
 
 using lease::asio::io_context;
-using store::Folder;
+using store::SqliteStorage;
 using tcp = boost::asio::ip::tcp;
 using boost::system::error_code;
 
@@ -56,24 +56,24 @@
 
 // Writes a data directory with a vote and four entries, the last of which has been replaced.
 void fill(const TempDirectory& place) {
-    Folder folder(place.path);
+    SqliteStorage folder(place.path);
     folder.begin(raft::bootstrap(7, 1, 3));
     EXPECT_EQ(folder.start(), 1U);
     raft::Ready first = entries_from(1, {entry(1, "a"), entry(1, "b"), entry(1, "c"), entry(1, "d")});
-    first.vote = raft::Stored{};
+    first.vote = raft::PersistentState{};
     first.vote->term = 2, first.vote->voted = 3;
     folder.keep(first);
     folder.keep(entries_from(4, {entry(2, "e")}));
 }
 
-TEST(Folder, KeepsStateOverRestartsAndIncarnations) {
+TEST(SqliteStorage, KeepsStateOverRestartsAndIncarnations) {
     TempDirectory place;
     fill(place);
     {
-        Folder folder(place.path);
-        ASSERT_EQ(folder.found(), Folder::Found::whole) << folder.why();
-        raft::Stored stored = folder.take_stored();
-        EXPECT_EQ(stored.fleet, 7U);
+        SqliteStorage folder(place.path);
+        ASSERT_EQ(folder.found(), SqliteStorage::Found::intact) << folder.why();
+        raft::PersistentState stored = folder.take_stored();
+        EXPECT_EQ(stored.cluster_id, 7U);
         EXPECT_EQ(stored.id, 2U);
         EXPECT_EQ(stored.starts, 1U);
         EXPECT_EQ(stored.term, 2U);
@@ -88,27 +88,27 @@
         folder.keep(entries_from(5, {}));  // truncates the tail
     }
     {
-        Folder folder(place.path);
-        const raft::Stored stored = folder.take_stored();
+        SqliteStorage folder(place.path);
+        const raft::PersistentState stored = folder.take_stored();
         EXPECT_EQ(stored.starts, 2U);
         EXPECT_EQ(stored.term, 2U);
         EXPECT_EQ(stored.snapshot.data, "book");
         EXPECT_EQ(stored.entries, std::vector{entry(2, "e")});
-        folder.begin(raft::newcomer(7, raft::kFirstDrawn + 5));
+        folder.begin(raft::newcomer(7, raft::kFirstRandomId + 5));
         EXPECT_TRUE(std::filesystem::exists(place.path + "/former.db"));
     }
-    Folder folder(place.path);
-    EXPECT_EQ(folder.take_stored().id, raft::kFirstDrawn + 5);
+    SqliteStorage folder(place.path);
+    EXPECT_EQ(folder.take_stored().id, raft::kFirstRandomId + 5);
 }
 
-TEST(Folder, IsLockedByOneProcess) {
+TEST(SqliteStorage, IsLockedByOneProcess) {
     TempDirectory place;
-    Folder first(place.path);
-    EXPECT_THROW(Folder second(place.path), store::FolderError);
-    EXPECT_THROW(Folder none(place.path + "/none"), store::FolderError);
+    SqliteStorage first(place.path);
+    EXPECT_THROW(SqliteStorage second(place.path), store::StorageError);
+    EXPECT_THROW(SqliteStorage none(place.path + "/none"), store::StorageError);
 }
 
-TEST(Folder, CorruptDataIsReported) {
+TEST(SqliteStorage, CorruptDataIsReported) {
     const std::pair<const char*, const char*> table[] = {
         {"UPDATE state SET bytes = zeroblob(12) WHERE place = 3", "row 3 is not as it was written"},
         {"UPDATE state SET bytes = (SELECT bytes FROM state WHERE place = 1) WHERE place = 3", "row 3"},
@@ -122,40 +122,41 @@
         TempDirectory place;
         fill(place);
         sql(place, change);
-        Folder folder(place.path);
-        EXPECT_EQ(folder.found(), Folder::Found::spoilt) << change;
+        SqliteStorage folder(place.path);
+        EXPECT_EQ(folder.found(), SqliteStorage::Found::corrupt) << change;
         EXPECT_NE(folder.why().find(why), std::string::npos) << change << " -> " << folder.why();
     }
     {
         TempDirectory place;
         place.write("keeper.db", std::string(9000, 'x'));
-        Folder folder(place.path);
-        EXPECT_EQ(folder.found(), Folder::Found::spoilt);
-        folder.begin(raft::newcomer(7, raft::kFirstDrawn));  // can be initialised again
+        SqliteStorage folder(place.path);
+        EXPECT_EQ(folder.found(), SqliteStorage::Found::corrupt);
+        folder.begin(raft::newcomer(7, raft::kFirstRandomId));  // can be initialised again
         EXPECT_EQ(folder.start(), 1U);
     }
     TempDirectory place;
     fill(place);
     sql(place, "PRAGMA user_version = 2");
-    EXPECT_THROW(Folder folder(place.path), store::FolderError);  // of a newer version: must not be set aside
+    EXPECT_THROW(SqliteStorage folder(place.path),
+                 store::StorageError);  // of a newer version: must not be set aside
 }
 
-TEST(Folder, FailedWriteLeavesNoTrace) {
+TEST(SqliteStorage, FailedWriteLeavesNoTrace) {
     TempDirectory place;
     fill(place);
     {
-        Folder folder(place.path);
+        SqliteStorage folder(place.path);
         rlimit before{};
         ::getrlimit(RLIMIT_FSIZE, &before);
         const auto former = std::signal(SIGXFSZ, SIG_IGN);
         const rlimit small{16384, before.rlim_max};
         ::setrlimit(RLIMIT_FSIZE, &small);
-        EXPECT_THROW(folder.keep(entries_from(5, {entry(2, std::string(60000, 'z'))})), store::FolderError);
+        EXPECT_THROW(folder.keep(entries_from(5, {entry(2, std::string(60000, 'z'))})), store::StorageError);
         ::setrlimit(RLIMIT_FSIZE, &before);
         std::signal(SIGXFSZ, former);
     }
-    Folder folder(place.path);
-    ASSERT_EQ(folder.found(), Folder::Found::whole) << folder.why();
+    SqliteStorage folder(place.path);
+    ASSERT_EQ(folder.found(), SqliteStorage::Found::intact) << folder.why();
     EXPECT_EQ(folder.take_stored().entries.size(), 4U);
 }
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -10,8 +10,8 @@
 #include "sim/lease_days.hpp"
 #include "sim/models/holder.hpp"
 #include "sim/scene.hpp"
+#include "store/checksum.hpp"
 #include "store/journal.hpp"
-#include "store/sealed.hpp"
 
 namespace cobaltshift {
 namespace {
@@ -29,7 +29,7 @@
     }
     raft::Settings settings(std::uint32_t n) const {
         raft::Settings s;
-        s.fleet = 7, s.number = n, s.keepers = count;
+        s.cluster_id = 7, s.number = n, s.member_slots = count;
         return s;
     }
     void start(std::uint32_t n) {
@@ -39,7 +39,7 @@
     void process_ready(std::uint32_t n) {
         while (all[n] && all[n]->has_ready()) {
             raft::Ready ready = all[n]->take_ready();
-            raft::Stored& disk = disks[n];
+            raft::PersistentState& disk = disks[n];
             if (ready.vote) disk.term = ready.vote->term, disk.voted = ready.vote->voted;
             if (ready.snapshot) disk.snapshot = *ready.snapshot, disk.entries.clear();
             if (ready.from > 0) {
@@ -88,7 +88,7 @@
 
     std::uint32_t count;
     double now = 0;
-    std::vector<raft::Stored> disks;
+    std::vector<raft::PersistentState> disks;
     std::vector<std::unique_ptr<RaftNode>> all;
     std::deque<Message> wire;
     std::set<std::pair<std::uint32_t, std::uint32_t>> cut;
@@ -168,7 +168,7 @@
     for (int i = 0; i < 10; ++i) cluster.all[leader]->propose("x");
     cluster.advance(500);
     const auto former = cluster.all[lost]->id();
-    cluster.disks[lost] = raft::newcomer(7, raft::kFirstDrawn + 99);
+    cluster.disks[lost] = raft::newcomer(7, raft::kFirstRandomId + 99);
     cluster.applied[lost].clear();
     cluster.start(lost);
     // Until it is a member its votes don't count.
@@ -194,7 +194,7 @@
     TestCluster cluster(3);
     cluster.advance(3000);
     const int leader = cluster.leader(), back = (leader + 1) % 3;
-    const raft::Stored copy = cluster.disks[back];
+    const raft::PersistentState copy = cluster.disks[back];
     for (int i = 0; i < 10; ++i) cluster.all[leader]->propose("x");
     cluster.advance(500);
     cluster.disks[back] = copy;  // restored from an older copy
@@ -206,12 +206,12 @@
 
 TEST(Agreement, RestartedNodeWithALowerTermIsRejected) {
     TestCluster names(3);
-    raft::Stored disk = raft::bootstrap(7, 0, 3);
+    raft::PersistentState disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
     RaftNode keeper(names.settings(0), disk, 0, 5);
     const auto says = [&](std::uint64_t starts, std::uint64_t draw, raft::Term term) {
         Message m;
-        m.kind = Message::Kind::ask_vote, m.fleet = 7, m.from = 2, m.to = 1, m.number = 1;
+        m.kind = Message::Kind::request_vote, m.cluster_id = 7, m.from = 2, m.to = 1, m.number = 1;
         m.run = {starts, draw}, m.term = term;
         keeper.on_message(0, m);
         std::vector<Message> out;
@@ -221,11 +221,11 @@
         }
         return out.empty() ? Message::Kind::join : out.back().kind;
     };
-    EXPECT_EQ(says(5, 1, 9), Message::Kind::vote);
+    EXPECT_EQ(says(5, 1, 9), Message::Kind::vote_response);
     EXPECT_EQ(says(4, 8, 3), Message::Kind::join) << "late, of an earlier run: nothing";
-    EXPECT_EQ(says(5, 2, 9), Message::Kind::gone) << "the same start twice: a copy";
-    EXPECT_EQ(says(6, 3, 4), Message::Kind::gone) << "a later start that forgot a term";
-    EXPECT_EQ(says(6, 4, 10), Message::Kind::vote) << "a later start as it should be";
+    EXPECT_EQ(says(5, 2, 9), Message::Kind::not_a_member) << "the same start twice: a copy";
+    EXPECT_EQ(says(6, 3, 4), Message::Kind::not_a_member) << "a later start that forgot a term";
+    EXPECT_EQ(says(6, 4, 10), Message::Kind::vote_response) << "a later start as it should be";
 }
 
 TEST(Agreement, SnapshotIsSentWhileEntriesAreAppended) {
@@ -269,21 +269,22 @@
     TestCluster cluster(3);
     cluster.advance(3000);
     const int leader = cluster.leader();
-    ASSERT_TRUE(cluster.all[leader]->confirm(5));
+    ASSERT_TRUE(cluster.all[leader]->confirm_leadership(5));
     EXPECT_TRUE(cluster.confirmed.empty());
     cluster.deliver_all();
     EXPECT_EQ(cluster.confirmed, std::vector<std::uint64_t>{5});
     cluster.isolate(leader);
-    ASSERT_TRUE(cluster.all[leader]->confirm(6));
+    ASSERT_TRUE(cluster.all[leader]->confirm_leadership(6));
     cluster.advance(6000);
     EXPECT_EQ(cluster.confirmed.size(), 1U) << "never, of one that nobody hears";
-    EXPECT_FALSE(cluster.all[(leader + 1) % 3]->confirm(7) && cluster.leader() != (leader + 1) % 3);
+    EXPECT_FALSE(cluster.all[(leader + 1) % 3]->confirm_leadership(7) &&
+                 cluster.leader() != (leader + 1) % 3);
 }
 
 // Guards against the fault of figure 8 in the Raft paper: an entry of an earlier term that is stored on a
 // majority must not be committed by counting replicas alone.
 TEST(Agreement, EntriesOfEarlierTermsCommitOnlyWithOneOfTheCurrentTerm) {
-    raft::Stored disk = raft::bootstrap(7, 0, 3);
+    raft::PersistentState disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1, disk.term = 2;
     disk.entries = {{2, raft::Entry::Kind::data, "old"}};
     TestCluster names(3);
@@ -299,30 +300,30 @@
     };
     const auto say = [&](Message::Kind kind, raft::Term term, raft::Index index) {
         Message m;
-        m.kind = kind, m.fleet = 7, m.from = 2, m.to = 1, m.number = 1, m.run = {1, 1};
+        m.kind = kind, m.cluster_id = 7, m.from = 2, m.to = 1, m.number = 1, m.run = {1, 1};
         m.term = term, m.ok = true, m.index = index, m.last = index;
         keeper.on_message(3000, m);
     };
     keeper.tick(3000);
     drain();
-    say(Message::Kind::prevote, 3, 0);
-    say(Message::Kind::vote, 3, 0);
+    say(Message::Kind::prevote_response, 3, 0);
+    say(Message::Kind::vote_response, 3, 0);
     ASSERT_EQ(keeper.role(), RaftNode::Role::leader);
     drain();
-    say(Message::Kind::appended, 3, 1);
+    say(Message::Kind::append_response, 3, 1);
     EXPECT_EQ(keeper.commit(), 0U) << "on a majority, and not committed";
     EXPECT_FALSE(keeper.leads());
-    say(Message::Kind::appended, 3, 2);
+    say(Message::Kind::append_response, 3, 2);
     EXPECT_EQ(keeper.commit(), 2U);
 }
 
 TEST(Agreement, VoteIsPersistedBeforeItIsSentAndGivenOncePerTerm) {
-    raft::Stored disk = raft::bootstrap(7, 0, 3);
+    raft::PersistentState disk = raft::bootstrap(7, 0, 3);
     disk.starts = 1;
     TestCluster names(3);
     const auto ask = [](raft::MemberId from) {
         Message m;
-        m.kind = Message::Kind::ask_vote, m.fleet = 7, m.from = from, m.to = 1;
+        m.kind = Message::Kind::request_vote, m.cluster_id = 7, m.from = from, m.to = 1;
         m.number = static_cast<std::uint32_t>(from - 1), m.run = {1, from}, m.term = 4;
         return m;
     };
@@ -344,18 +345,18 @@
 
 TEST(Agreement, InconsistentLogIsRejected) {
     TestCluster names(3);
-    raft::Stored disk = raft::bootstrap(7, 0, 3);
+    raft::PersistentState disk = raft::bootstrap(7, 0, 3);
     disk.term = 3;
     disk.entries = {{2, raft::Entry::Kind::nothing, ""}, {1, raft::Entry::Kind::nothing, ""}};
-    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::Broken);
+    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::ProtocolViolation);
     disk.entries = {{4, raft::Entry::Kind::nothing, ""}};
-    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::Broken);
+    EXPECT_THROW(RaftNode(names.settings(0), disk, 0, 5), raft::ProtocolViolation);
 }
 
 // ---- Persistent state ------------------------------------------------------------------------------------
 
-raft::Stored example_state() {
-    raft::Stored s = raft::bootstrap(7, 1, 3);
+raft::PersistentState example_state() {
+    raft::PersistentState s = raft::bootstrap(7, 1, 3);
     s.starts = 4, s.term = 9, s.voted = 2;
     s.snapshot.index = 5, s.snapshot.term = 3, s.snapshot.data = "book";
     s.entries = {{4, raft::Entry::Kind::data, "a"}, {9, raft::Entry::Kind::nothing, ""}};
@@ -365,18 +366,18 @@
 TEST(Journal, ReplaysRecordsAndDistinguishesTornTailFromCorruption) {
     const std::string whole = store::records_of(example_state());
     const auto back = store::replay(whole);
-    ASSERT_EQ(back.found, store::Replayed::Found::whole);
+    ASSERT_EQ(back.found, store::Replayed::Found::intact);
     EXPECT_EQ(back.stored.id, 2U);
     EXPECT_EQ(back.stored.term, 9U);
     EXPECT_EQ(back.stored.entries, example_state().entries);
     EXPECT_EQ(back.stored.snapshot, example_state().snapshot);
     for (std::size_t n = 0; n < whole.size(); ++n) {
         const auto cut = store::replay(whole.substr(0, n));
-        EXPECT_NE(cut.found, store::Replayed::Found::spoilt) << "cut at " << n;
+        EXPECT_NE(cut.found, store::Replayed::Found::corrupt) << "cut at " << n;
         EXPECT_LE(cut.good, n);
         std::string rotten = whole;
         rotten[n] = static_cast<char>(rotten[n] ^ 4);
-        EXPECT_EQ(store::replay(rotten).found, store::Replayed::Found::spoilt) << "rotten at " << n;
+        EXPECT_EQ(store::replay(rotten).found, store::Replayed::Found::corrupt) << "rotten at " << n;
     }
     // An entry replaces all stored ones from its index on.
     raft::Ready ready;
@@ -386,13 +387,13 @@
     ASSERT_EQ(more.stored.entries.size(), 2U);
     EXPECT_EQ(more.stored.entries[1].data, "b");
     ready.from = 9;
-    EXPECT_EQ(store::replay(whole + store::records_of(ready)).found, store::Replayed::Found::spoilt)
+    EXPECT_EQ(store::replay(whole + store::records_of(ready)).found, store::Replayed::Found::corrupt)
         << "a gap";
 }
 
 TEST(Hostile, MalformedMessagesRequestsAndSnapshotsAreRejected) {
     Message m;
-    m.kind = Message::Kind::append, m.fleet = 7, m.from = 2, m.to = 1, m.term = 3;
+    m.kind = Message::Kind::append, m.cluster_id = 7, m.from = 2, m.to = 1, m.term = 3;
     m.entries = {{3, raft::Entry::Kind::data, "abc"}};
     const std::string good = raft::encode(m);
     std::string why;
@@ -406,7 +407,7 @@
     const auto raw = [](std::initializer_list<int> bytes) {
         std::string text;
         for (const int byte : bytes) text.push_back(static_cast<char>(byte));
-        return store::sealed(text);
+        return store::append_checksum(text);
     };
     const struct {
         const char* what;
@@ -463,7 +464,7 @@
     Message m;
     m.kind = Message::Kind::append, m.from = static_cast<raft::MemberId>(leader + 1),
     m.number = static_cast<std::uint32_t>(leader);
-    m.to = cluster.all[other]->id(), m.term = 99, m.run = {1, 0}, m.fleet = 8;
+    m.to = cluster.all[other]->id(), m.term = 99, m.run = {1, 0}, m.cluster_id = 8;
     const auto term = cluster.all[other]->term();
     const auto send_and_check = [&](const char* what) {
         cluster.all[other]->on_message(cluster.now, m);
@@ -471,11 +472,11 @@
         EXPECT_FALSE(cluster.all[other]->retired()) << what;
     };
     send_and_check("another fleet's");
-    m.fleet = 7, m.to = 77;
+    m.cluster_id = 7, m.to = 77;
     send_and_check("another's");
     m.to = cluster.all[other]->id(), m.run = {0, 5};
     send_and_check("an earlier run's");
-    m.kind = Message::Kind::gone, m.run = {77, 77};
+    m.kind = Message::Kind::not_a_member, m.run = {77, 77};
     send_and_check("told to go, but not in this run");
 }
 
--- a/tests/mesh/control_io_test.cpp
+++ b/tests/mesh/control_io_test.cpp
@@ -33,8 +33,8 @@
 
 raft::Entry entry(raft::Term term, const std::string& data) { return {term, raft::Entry::Kind::data, data}; }
 
-raft::Stored three_entries() {
-    raft::Stored stored = bootstrap(kClusterId, 1, {1, 2, 3});
+raft::PersistentState three_entries() {
+    raft::PersistentState stored = bootstrap(kClusterId, 1, {1, 2, 3});
     stored.term = 4;
     stored.entries = {entry(1, "a"), entry(3, std::string(5000, 'b')), entry(4, "c")};
     return stored;
--- a/tests/mesh/control_test.cpp
+++ b/tests/mesh/control_test.cpp
@@ -50,7 +50,7 @@
     for (int tries = 0; tries < 20; ++tries) {
         const Reply reply = world.await(world.get(world.await_leader(6000)));
         if (reply.kind == Kind::config) return reply.current->edition;
-        if (reply.kind == Kind::nothing_yet) return 0;
+        if (reply.kind == Kind::no_config) return 0;
         world.run(100);
     }
     FAIL("not read");
@@ -62,7 +62,7 @@
 TEST_CASE("control: three founders elect a leader, which accepts changes and serves reads") {
     ReplicaWorld world(1);
     const std::uint32_t leader = world.await_leader(2000);
-    CHECK(world.await(world.get(leader)).kind == Kind::nothing_yet);
+    CHECK(world.await(world.get(leader)).kind == Kind::no_config);
     const Reply taken = world.await(world.put(leader, put(0, 5, "first")));
     CHECK(taken.kind == Kind::taken);
     CHECK(taken.edition == 5);
@@ -237,7 +237,7 @@
         world.wipe(lost);
         world.run(seed * 100);
         world.start(lost);
-        CHECK(world.hubs[lost].replica->raft().id() >= raft::kFirstDrawn);
+        CHECK(world.hubs[lost].replica->raft().id() >= raft::kFirstRandomId);
         CHECK_FALSE(world.hubs[lost].replica->raft().member());
         REQUIRE(world.await([&] { return world.settled(lost); }, kCatchUp));
         const std::uint32_t next = world.other_than(lost);
@@ -519,7 +519,7 @@
                 const config::Edition least = newest_acknowledged;
                 const Reply read = world.await(world.get(leader), 1000);
                 if (read.kind == Kind::config) REQUIRE(read.current->edition >= least);
-                REQUIRE(read.kind != Kind::nothing_yet);
+                REQUIRE(read.kind != Kind::no_config);
             }
             collect();
         }
--- a/tests/mesh/incident_lost_test.cpp
+++ b/tests/mesh/incident_lost_test.cpp
@@ -82,7 +82,7 @@
         std::vector<raft::Index> persisted_before;  // for each image: the last index persisted before it
         {
             control::Store store(folder, kClusterId, disk);
-            raft::Stored first_state = control::bootstrap(kClusterId, 1, {1, 2, 3});
+            raft::PersistentState first_state = control::bootstrap(kClusterId, 1, {1, 2, 3});
             first_state.term = 1;
             store.begin(first_state);
             kelplb::Random random(seed + 1000);
--- a/tests/mesh/snapshot_transfer_test.cpp
+++ b/tests/mesh/snapshot_transfer_test.cpp
@@ -124,12 +124,12 @@
     world.loss = 0;
     REQUIRE(world.await([&] { return world.leader() != 0; }, 2000));
     world.run(700);
-    CHECK(world.await(world.get(world.leader())).kind == control::Reply::Kind::nothing_yet);
+    CHECK(world.await(world.get(world.leader())).kind == control::Reply::Kind::no_config);
 }
 
 TEST_CASE("control: a single member can't transfer its leadership") {
     control::ReplicaWorld world(4, {}, 1);
     const std::uint32_t only = world.await_leader();
     CHECK_FALSE(world.hand_over(only));
-    CHECK(world.await(world.get(only)).kind == control::Reply::Kind::nothing_yet);
+    CHECK(world.await(world.get(only)).kind == control::Reply::Kind::no_config);
 }
