--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -11,10 +11,10 @@
 constexpr std::size_t kMaxFormerInstances = 16;
 }  // namespace
 
-void Admission::switch_instance(const std::string& life) {
+void Admission::switch_instance(const std::string& instance_id) {
     if (!instance_id_.empty()) former_instances_.push_back(instance_id_);
     if (former_instances_.size() > kMaxFormerInstances) former_instances_.erase(former_instances_.begin());
-    instance_id_ = life;
+    instance_id_ = instance_id;
     deregistered_ = false;
     call_seq_ = 0;
     closing_ = false;
@@ -24,12 +24,13 @@
     service_time_ratio_ = 0;
 }
 
-bool Admission::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
-    if (std::find(former_instances_.begin(), former_instances_.end(), life) != former_instances_.end())
+bool Admission::on_heartbeat(const std::string& instance_id, std::uint32_t capacity, bool closing,
+                             std::uint64_t call_seq) {
+    if (std::find(former_instances_.begin(), former_instances_.end(), instance_id) != former_instances_.end())
         return false;
-    if (life == instance_id_ && deregistered_) return false;
-    if (life != instance_id_)
-        switch_instance(life);
+    if (instance_id == instance_id_ && deregistered_) return false;
+    if (instance_id != instance_id_)
+        switch_instance(instance_id);
     else if (heartbeat_received_ && call_seq <= call_seq_)
         return false;
     call_seq_ = call_seq;
@@ -39,44 +40,45 @@
     return true;
 }
 
-void Admission::seen_well(const std::string& life, std::uint32_t capacity) {
-    if (heartbeat_received_ || life.empty()) return;
-    if (life != instance_id_) switch_instance(life);
+void Admission::on_healthy(const std::string& instance_id, std::uint32_t capacity) {
+    if (heartbeat_received_ || instance_id.empty()) return;
+    if (instance_id != instance_id_) switch_instance(instance_id);
     capacity_ = std::max(1U, capacity);
 }
 
-void Admission::gone(const std::string& life) {
-    if (life != instance_id_) return;
+void Admission::on_deregistered(const std::string& instance_id) {
+    if (instance_id != instance_id_) return;
     closing_ = deregistered_ = true;
 }
 
-Answer Admission::offer(Millis now, const Offer& offer) {
-    if (leaving_) return {Act::refuse, Reason::leaving};
-    if (instance_id_.empty() || offer.life != instance_id_) return {Act::refuse, Reason::wrong_instance};
-    if (closing_) return {Act::refuse, Reason::closing};
-    if (now >= offer.deadline) return {Act::refuse, Reason::late};
-    if (offer.once && started_ids_.contains(offer.id)) return {Act::refuse, Reason::repeated};
+Decision Admission::offer(Millis now, const Offer& offer) {
+    if (leaving_) return {Disposition::refuse, Reason::leaving};
+    if (instance_id_.empty() || offer.instance_id != instance_id_)
+        return {Disposition::refuse, Reason::wrong_instance};
+    if (closing_) return {Disposition::refuse, Reason::closing};
+    if (now >= offer.deadline) return {Disposition::refuse, Reason::late};
+    if (offer.once && started_ids_.contains(offer.id)) return {Disposition::refuse, Reason::repeated};
     const Millis at_server = service_time_ratio_ * (offer.due - now);
     if (offer.link_time > 0 &&
         exceeds_expected_limit(std::max(at_server, offer.link_wait) + offer.link_time, offer, now))
-        return {Act::refuse, Reason::full};
+        return {Disposition::refuse, Reason::full};
     if (working_.size() < capacity_ && queue_.empty()) {
         start(offer, offer.due - now);
-        return {Act::begin, {}};
+        return {Disposition::begin, {}};
     }
     if (!offer.may_wait || queue_.size() >= static_cast<std::size_t>(settings_.queue_per_slot * capacity_))
-        return {Act::refuse, Reason::full};
+        return {Disposition::refuse, Reason::full};
     // If the requests ahead of it would make it late, refuse it at once, while another server may be free.
     const Millis target = offer.due - now, left = offer.deadline - now;
     const Order order{target * std::pow(kRankCostFactor, std::clamp(offer.rank, 0, kLowestRank)), offer.due,
                       offer.ticket};
     const Millis ready = expected_queue_wait(order) + service_time_ratio_ * target;
-    if (ready > left) return {Act::refuse, Reason::late};
+    if (ready > left) return {Disposition::refuse, Reason::late};
     if (exceeds_expected_limit(std::max(ready, offer.link_wait) + offer.link_time, offer, now))
-        return {Act::refuse, Reason::full};
+        return {Disposition::refuse, Reason::full};
     queue_.emplace(order, Waiting{offer, now});
     queue_order_.emplace(offer.ticket, order);
-    return {Act::wait, {}};
+    return {Disposition::wait, {}};
 }
 
 bool Admission::exceeds_expected_limit(Millis expected, const Offer& offer, Millis now) const {
@@ -139,7 +141,7 @@
     for (auto first = queue_.begin(); accepting() && first != queue_.end() && working_.size() < capacity_;) {
         const Offer& offer = first->second.offer;
         // take_rejected() removes these.
-        if (now >= offer.deadline || offer.life != instance_id_ ||
+        if (now >= offer.deadline || offer.instance_id != instance_id_ ||
             (offer.once && started_ids_.contains(offer.id))) {
             ++first;
             continue;
@@ -156,7 +158,7 @@
     std::vector<Rejected> out;
     for (auto at = queue_.begin(); at != queue_.end();) {
         const Offer& offer = at->second.offer;
-        const bool wrong = offer.life != instance_id_, late = now >= offer.deadline;
+        const bool wrong = offer.instance_id != instance_id_, late = now >= offer.deadline;
         const bool again = offer.once && started_ids_.contains(offer.id);  // two with one id were queued
         if (accepting() && !wrong && !late && !again) {
             ++at;
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -42,22 +42,22 @@
 // A request that asks for a slot. Times are absolute, on the clock of the caller.
 struct Offer {
     Ticket ticket = 0;
-    std::string id;        // Request-Id
-    std::string life;      // of the server that the caller routed it to
-    bool once = true;      // may run at most once (registered route)
-    bool may_wait = true;  // false: refused if no slot is free now
-    int rank = 0;          // priority of the route, 0 is the highest
-    Millis deadline = 0;   // when the client gives up
-    Millis due = 0;        // arrival plus the route's target latency; orders the queue
+    std::string id;           // Request-Id
+    std::string instance_id;  // of the server that the caller routed it to
+    bool once = true;         // may run at most once (registered route)
+    bool may_wait = true;     // false: refused if no slot is free now
+    int rank = 0;             // priority of the route, 0 is the highest
+    Millis deadline = 0;      // when the client gives up
+    Millis due = 0;           // arrival plus the route's target latency; orders the queue
     // For a long answer, in ms: until the link has carried the answers promised before it, and the time to
     // transmit the answer itself. Zero for short answers.
     Millis link_wait = 0, link_time = 0;
 };
 
 // What happens to an offer: it starts now, waits in the queue, or is refused without having run.
-enum class Act : std::uint8_t { begin, wait, refuse };
-struct Answer {
-    Act act = Act::refuse;
+enum class Disposition : std::uint8_t { begin, wait, refuse };
+struct Decision {
+    Disposition disposition = Disposition::refuse;
     Reason reason = Reason::full;  // meaningful if `act` is refuse
 };
 // A request that left the queue without having run.
@@ -73,17 +73,18 @@
     // A heartbeat of the server itself. Returns false, and changes nothing, if it is not newer than the last
     // one of this instance (by `call_seq`) or comes from an instance that has ended. Another instance id than
     // the current one means that the server has restarted. A capacity of 0 counts as 1.
-    bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
+    bool on_heartbeat(const std::string& instance_id, std::uint32_t capacity, bool closing,
+                      std::uint64_t call_seq);
     // The server answered a health check, which this proxy sends after its own restart. Ignored once a
     // heartbeat has been received, as heartbeats are more precise.
-    void seen_well(const std::string& life, std::uint32_t capacity);
+    void on_healthy(const std::string& instance_id, std::uint32_t capacity);
     // The server has deregistered itself (DELETE). Ignored for any other instance than the current one.
-    void gone(const std::string& life);
+    void on_deregistered(const std::string& instance_id);
     // The proxy itself shuts down: no request starts from now on.
     void leave() { leaving_ = true; }
 
     // Starts the request, queues it or refuses it.
-    Answer offer(Millis now, const Offer& offer);
+    Decision offer(Millis now, const Offer& offer);
     // A started request has ended, whatever its outcome. `took`: its time at the server in ms, 0 if that says
     // nothing about the server's speed. `ran` is false only if the server certainly did not run it: its id
     // may then be offered again.
@@ -101,7 +102,7 @@
     // The earliest deadline in the queue, when take_rejected() should be called next; 0: the queue is empty.
     Millis next_deadline() const;
 
-    const std::string& life() const { return instance_id_; }
+    const std::string& instance_id() const { return instance_id_; }
     std::uint32_t capacity() const { return capacity_; }
     bool closing() const { return closing_; }
     bool leaving() const { return leaving_; }
@@ -126,7 +127,7 @@
     // Settings.
     bool exceeds_expected_limit(Millis expected, const Offer& offer, Millis now) const;
     bool accepting() const { return !instance_id_.empty() && !closing_ && !leaving_; }
-    void switch_instance(const std::string& life);
+    void switch_instance(const std::string& instance_id);
     void remember_started(const std::string& id);
 
     Settings settings_;
--- a/src/admission/answer_sizes.hpp
+++ b/src/admission/answer_sizes.hpp
@@ -17,7 +17,7 @@
         auto operator<=>(const Kind&) const = default;
     };
 
-    void learn(const Kind& kind, std::size_t bytes) {
+    void record(const Kind& kind, std::size_t bytes) {
         const auto at = mean_bytes_.find(kind);
         if (at != mean_bytes_.end())
             at->second += (static_cast<double>(bytes) - at->second) * kSmoothing;
--- a/src/admission/inbound_requests.cpp
+++ b/src/admission/inbound_requests.cpp
@@ -10,26 +10,26 @@
 constexpr Millis kExpiryMarginMs = 40;
 }  // namespace
 
-bool InboundRequests::beat(Millis now, const std::string& life, std::uint32_t capacity, bool closing,
-                           std::uint64_t call_seq) {
-    const bool taken = admission_.beat(life, capacity, closing, call_seq);
-    look(now);
+bool InboundRequests::on_heartbeat(Millis now, const std::string& instance_id, std::uint32_t capacity,
+                                   bool closing, std::uint64_t call_seq) {
+    const bool taken = admission_.on_heartbeat(instance_id, capacity, closing, call_seq);
+    advance(now);
     return taken;
 }
 
-void InboundRequests::seen_well(Millis now, const std::string& life, std::uint32_t capacity) {
-    admission_.seen_well(life, capacity);
-    look(now);
+void InboundRequests::on_healthy(Millis now, const std::string& instance_id, std::uint32_t capacity) {
+    admission_.on_healthy(instance_id, capacity);
+    advance(now);
 }
 
-void InboundRequests::gone(Millis now, const std::string& life) {
-    admission_.gone(life);
-    look(now);
+void InboundRequests::on_deregistered(Millis now, const std::string& instance_id) {
+    admission_.on_deregistered(instance_id);
+    advance(now);
 }
 
 void InboundRequests::leave(Millis now) {
     admission_.leave();
-    look(now);
+    advance(now);
 }
 
 void InboundRequests::arrived(Millis now, Ticket ticket, const Arrival& arrival,
@@ -37,7 +37,7 @@
     Offer offer;
     offer.ticket = ticket;
     offer.id = arrival.id;
-    offer.life = arrival.life;
+    offer.instance_id = arrival.instance_id;
     offer.once = arrival.once;
     offer.may_wait = arrival.may_wait;
     offer.rank = arrival.rank;
@@ -47,10 +47,10 @@
     request.deadline = arrival.deadline;
     request.kind = arrival.kind;
     if (link) reserve_link(request, offer, *link);
-    const Answer said = admission_.offer(now, offer);
-    if (said.act == Act::begin) begin(now, ticket);
-    if (said.act == Act::refuse) refuse(ticket, said.reason);
-    if (said.act == Act::wait) look_soon();
+    const Decision said = admission_.offer(now, offer);
+    if (said.disposition == Disposition::begin) begin(now, ticket);
+    if (said.disposition == Disposition::refuse) refuse(ticket, said.reason);
+    if (said.disposition == Disposition::wait) schedule_advance();
 }
 
 // Only long answers reserve link time: short ones are sent between the pieces of long ones.
@@ -70,7 +70,7 @@
     const Millis until = request.deadline + kExpiryMarginMs;
     deadlines_.emplace(std::pair(until, ticket), true);
     executor_.begin(ticket, until);
-    look_soon();
+    schedule_advance();
 }
 
 void InboundRequests::refuse(Ticket ticket, Reason reason) {
@@ -85,16 +85,16 @@
     requests_.erase(at);
 }
 
-void InboundRequests::ended(Millis now, Ticket ticket, const ServerEnd& end) {
+void InboundRequests::ended(Millis now, Ticket ticket, const ServerResult& end) {
     const auto at = requests_.find(ticket);
     if (at == requests_.end()) return;
     const Request& request = at->second;
     deadlines_.erase({request.deadline + kExpiryMarginMs, ticket});
-    if (end.answer_bytes) answer_sizes_.learn(request.kind, *end.answer_bytes);
+    if (end.answer_bytes) answer_sizes_.record(request.kind, *end.answer_bytes);
     const bool worked = !end.failure || end.failure->execution != Execution::not_run;
     admission_.ended(ticket, end.success && worked ? now - request.started_at : 0, worked);
     forget(ticket);
-    look_soon();
+    schedule_advance();
 }
 
 bool InboundRequests::withdraw(Ticket ticket) {
@@ -109,17 +109,17 @@
     return true;
 }
 
-void InboundRequests::look_soon() {
+void InboundRequests::schedule_advance() {
     if (std::exchange(advance_scheduled_, true)) return;
-    executor_.look_soon();
+    executor_.schedule_advance();
 }
 
 void InboundRequests::timer_fired(Millis now) {
     timer_at_ = 0;
-    look(now);
+    advance(now);
 }
 
-void InboundRequests::look(Millis now) {
+void InboundRequests::advance(Millis now) {
     advance_scheduled_ = false;
     for (const Rejected& rejected : admission_.take_rejected(now)) refuse(rejected.ticket, rejected.reason);
     for (const Ticket ticket : admission_.start_next(now)) begin(now, ticket);
@@ -133,7 +133,7 @@
         next = deadlines_.begin()->first.first;
     if (next == 0 || next == timer_at_) return;
     timer_at_ = next;
-    executor_.look_at(next);
+    executor_.set_timer(next);
 }
 
 }  // namespace cobaltshift::admission
--- a/src/admission/inbound_requests.hpp
+++ b/src/admission/inbound_requests.hpp
@@ -21,11 +21,11 @@
 
 // A request as it arrives from another proxy.
 struct Arrival {
-    std::string id;         // Request-Id
-    std::string life;       // of the server that the caller routed it to
-    bool once = true;       // may run at most once
-    bool may_wait = false;  // may be queued if no slot is free
-    int rank = 0;           // priority of the route, 0 is the highest
+    std::string id;           // Request-Id
+    std::string instance_id;  // of the server that the caller routed it to
+    bool once = true;         // may run at most once
+    bool may_wait = false;    // may be queued if no slot is free
+    int rank = 0;             // priority of the route, 0 is the highest
     AnswerSizes::Kind kind;
     Millis target = 0;    // target latency, counted from now
     Millis deadline = 0;  // when the client gives up; absolute
@@ -39,7 +39,7 @@
 };
 
 // How a started request ended.
-struct ServerEnd {
+struct ServerResult {
     std::optional<Failure> failure;           // none: the server's answer is passed on
     bool success = false;                     // the answer is a success
     std::optional<std::size_t> answer_bytes;  // none: no answer came
@@ -57,10 +57,10 @@
     virtual void expire(Ticket ticket) = 0;
     // The caller of a started request has left. InboundRequests::ended() must follow.
     virtual void cancel(Ticket ticket) = 0;
-    // Calls InboundRequests::look() in the next turn of the event loop.
-    virtual void look_soon() = 0;
+    // Calls InboundRequests::advance() in the next turn of the event loop.
+    virtual void schedule_advance() = 0;
     // Calls InboundRequests::timer_fired() at the given time; replaces the time set before.
-    virtual void look_at(Millis when) = 0;
+    virtual void set_timer(Millis when) = 0;
 };
 
 class InboundRequests {
@@ -68,23 +68,23 @@
     explicit InboundRequests(Executor& executor) : executor_(executor) {}
 
     // ---- State of the server; see Admission
-    bool beat(Millis now, const std::string& life, std::uint32_t capacity, bool closing,
-              std::uint64_t call_seq);
-    void seen_well(Millis now, const std::string& life, std::uint32_t capacity);
-    void gone(Millis now, const std::string& life);
+    bool on_heartbeat(Millis now, const std::string& instance_id, std::uint32_t capacity, bool closing,
+                      std::uint64_t call_seq);
+    void on_healthy(Millis now, const std::string& instance_id, std::uint32_t capacity);
+    void on_deregistered(Millis now, const std::string& instance_id);
     void leave(Millis now);
 
     // ---- Requests
     Ticket next_ticket() { return next_ticket_++; }
     // `link`: none if the link's rate is unknown; nothing is then reserved on it.
     void arrived(Millis now, Ticket ticket, const Arrival& arrival, const std::optional<LinkState>& link);
-    void ended(Millis now, Ticket ticket, const ServerEnd& end);
+    void ended(Millis now, Ticket ticket, const ServerResult& end);
     // The caller has left. Returns true if the request has been dropped; false if it has started: it is then
     // cancelled, and ended() follows.
     bool withdraw(Ticket ticket);
     // Rejects, starts and expires requests as far as they are due.
-    void look(Millis now);
-    // The time that was passed to Executor::look_at() has come.
+    void advance(Millis now);
+    // The time that was passed to Executor::set_timer() has come.
     void timer_fired(Millis now);
 
     const Admission& admission() const { return admission_; }
@@ -101,7 +101,7 @@
     void begin(Millis now, Ticket ticket);
     void refuse(Ticket ticket, Reason reason);
     void forget(Ticket ticket);
-    void look_soon();
+    void schedule_advance();
 
     Executor& executor_;
     Admission admission_;
--- a/src/caller/caller.hpp
+++ b/src/caller/caller.hpp
@@ -22,7 +22,7 @@
 //   void probe(ServerId, const Endpoint&)
 //   RequestArrived classify(const RequestPtr&, Story&)    fills all but the id and the time left
 //   bool may_send(const RequestPtr&, Story&, const std::string& server)
-//   Reading read(Outcome, const Response*, Story&)
+//   AttemptResult read(Outcome, const Response*, Story&)
 //   void answer(const ClientPtr&, Response&&, bool own)   `own`: generated here, not by a server
 //   Response refusal(Story&, Millis retry_in)  Response failure(Story&)
 //   ZoneId zone_number(const std::string&)
@@ -50,7 +50,7 @@
 namespace cobaltshift::caller {
 
 // How the protocol interprets the end of an attempt.
-struct Reading {
+struct AttemptResult {
     Outcome outcome;
     bool final = false;          // the answer is passed to the client
     bool reached_server = true;  // a server received the request
@@ -139,7 +139,7 @@
     // `hosts`: a range of structs with name, dial, zone, cell, phase, born and units. Returns the list that
     // was passed to the module.
     template <class Hosts>
-    std::vector<ServerInfo> told(ListKind kind, bool whole, const Hosts& hosts) {
+    std::vector<ServerInfo> update_servers(ListKind kind, bool whole, const Hosts& hosts) {
         ServerList event{kind, {}};
         if (whole)
             for (auto& [id, server] : servers_) server.listed = false;
@@ -174,7 +174,7 @@
         --request.in_flight;
         const auto [sent_at, server_id] = request.sent[key.attempt];
         AttemptEnded event{key.id, key.attempt, outcome, environment_.now() - sent_at, false};
-        const Reading reading = environment_.read(outcome, response, request.story);
+        const AttemptResult reading = environment_.read(outcome, response, request.story);
         event.outcome = reading.outcome;
         if (reading.final) answer(key.id, request, std::move(*response), false);
         event.request_ended = request.ended;
--- a/src/exchange/connection_pool.hpp
+++ b/src/exchange/connection_pool.hpp
@@ -20,14 +20,14 @@
 //   void connect(const ConnectionPtr&)      then calls connected()
 //   void write(const ConnectionPtr&)        writes job->request, then calls written() or write_failed()
 //   void read(const ConnectionPtr&)         reads the next answer, then calls answered() or broken()
-//   bool quiet(Connection&)                 whether the connection is open and has no unread input
-//   void rest(const ConnectionPtr&)         calls woke() on input or end; may free the buffers
+//   bool is_reusable(Connection&)           whether the connection is open and has no unread input
+//   void watch_idle(const ConnectionPtr&)   calls idle_readable() on input or end; may free the buffers
 //   void set_timer(const ConnectionPtr&, Millis at)    replaces the timer set before; calls timer_fired()
 //   void cancel_timer(Connection&)
 //   void close(Connection&)
 //   bool is_stray(const Connection&, const Response&)  whether the answer belongs to another request
 //   Outcome judge(const Response&)
-//   Millis kept_for(const Response&)        the keep-alive time that the server announces; 0: none
+//   Millis keep_alive_time(const Response&) the keep-alive time that the server announces; 0: none
 //   void attempt_ended(AttemptKey, Outcome, Response*)
 //   void probe_ended(ServerId, Outcome, Millis duration)
 #pragma once
@@ -93,8 +93,8 @@
         std::shared_ptr<Group> group;
         ConnectionState state = ConnectionState::connecting;
         std::unique_ptr<Job> job;
-        bool stray_seen = false;  // an answer to another request has come on it
-        Millis kept_for = 0;      // keep-alive time that the server announced last; 0: none
+        bool stray_seen = false;     // an answer to another request has come on it
+        Millis keep_alive_time = 0;  // keep-alive time that the server announced last; 0: none
         Millis idle_since = 0;
     };
 
@@ -193,7 +193,7 @@
         }
         const bool keep =
             how.keep_alive && !how.excess_bytes && !connection->group->retired && !connection->stray_seen;
-        connection->kept_for = transport_.kept_for(response);
+        connection->keep_alive_time = transport_.keep_alive_time(response);
         end(connection, transport_.judge(response), &response, keep);
     }
 
@@ -203,8 +203,9 @@
     }
 
     // An idle connection that has received input or has ended must not be reused.
-    void woke(const ConnectionPtr& connection) {
-        if (connection->state == ConnectionState::idle && !transport_.quiet(*connection)) drop(connection);
+    void idle_readable(const ConnectionPtr& connection) {
+        if (connection->state == ConnectionState::idle && !transport_.is_reusable(*connection))
+            drop(connection);
     }
 
     void timer_fired(const ConnectionPtr& connection) {
@@ -271,7 +272,7 @@
         const Millis settled = transport_.now() - limits_.reuse_delay;
         for (std::size_t i = group->idle.size(); i-- > 0;) {
             ConnectionPtr connection = group->idle[i];
-            if (connection->to != to || !transport_.quiet(*connection)) {
+            if (connection->to != to || !transport_.is_reusable(*connection)) {
                 drop(connection);
                 continue;
             }
@@ -298,10 +299,11 @@
         connection->idle_since = transport_.now();
         connection->group->idle.push_back(connection);
         // Closes it well before the server does: a request written to a closed connection would be lost.
-        const Millis closes = connection->kept_for > 0 ? std::min(limits_.idle_close, connection->kept_for)
-                                                       : limits_.idle_close;
+        const Millis closes = connection->keep_alive_time > 0
+                                  ? std::min(limits_.idle_close, connection->keep_alive_time)
+                                  : limits_.idle_close;
         transport_.set_timer(connection, connection->idle_since + closes - std::min(1000.0, closes / 4));
-        transport_.rest(connection);
+        transport_.watch_idle(connection);
     }
 
     void drop(const ConnectionPtr& connection) {
--- a/src/hop/attempt_rules.cpp
+++ b/src/hop/attempt_rules.cpp
@@ -40,17 +40,17 @@
     return true;
 }
 
-AttemptReading AttemptRules::read(const AttemptEnd& end, RequestHistory& history) {
+HopAttemptResult AttemptRules::read(const AttemptEnd& end, RequestHistory& history) {
     return std::visit([&](const auto& how) { return interpret(how, history); }, end);
 }
 
-AttemptReading AttemptRules::ran(RequestHistory& history, Outcome outcome, bool final) {
+HopAttemptResult AttemptRules::ran(RequestHistory& history, Outcome outcome, bool final) {
     ++history.counted_attempts;
     history.may_have_run = true;
     return {{outcome, final}};
 }
 
-AttemptReading AttemptRules::interpret(const NoAnswer& end, RequestHistory& history) {
+HopAttemptResult AttemptRules::interpret(const NoAnswer& end, RequestHistory& history) {
     history.reason = end.outcome == Outcome::timed_out ? Reason::silent : Reason::unreachable;
     if (end.outcome == Outcome::refused_connection || end.outcome == Outcome::not_sent)
         return {{end.outcome, false, false}};
@@ -58,7 +58,7 @@
     return ran(history, end.outcome, false);
 }
 
-AttemptReading AttemptRules::interpret(const Failure& failure, RequestHistory& history) {
+HopAttemptResult AttemptRules::interpret(const Failure& failure, RequestHistory& history) {
     history.reason = failure.reason;
     if (failure.execution != Execution::not_run || failure.reason == Reason::repeated) {
         ++counts_.broken;
@@ -71,15 +71,15 @@
     }
     ++counts_.bounced;
     if (failure.reason == Reason::unreachable) return {{Outcome::refused_connection, false, false}};
-    AttemptReading result{{Outcome::not_sent, false, false}};
+    HopAttemptResult result{{Outcome::not_sent, false, false}};
     result.avoid_server = failure.reason != Reason::full && failure.reason != Reason::late;
     return result;
 }
 
-AttemptReading AttemptRules::interpret(const ServerAnswered& answer, RequestHistory& history) {
+HopAttemptResult AttemptRules::interpret(const ServerAnswered& answer, RequestHistory& history) {
     if (answer.status / 100 == 2) return ran(history, Outcome::completed, true);
     if (answer.status < kFirstServerError) return ran(history, Outcome::cancelled, true);
-    AttemptReading result = ran(history, Outcome::errored, history.hop.once());
+    HopAttemptResult result = ran(history, Outcome::errored, history.hop.once());
     result.keep_answer = true;
     return result;
 }
--- a/src/hop/attempt_rules.hpp
+++ b/src/hop/attempt_rules.hpp
@@ -40,8 +40,8 @@
 using AttemptEnd = std::variant<NoAnswer, Failure, ServerAnswered>;
 
 // How an attempt's end is interpreted.
-struct AttemptReading {
-    caller::Reading reading;
+struct HopAttemptResult {
+    caller::AttemptResult attempt;
     bool keep_answer = false;   // a server error: the client gets it if no later attempt succeeds
     bool avoid_server = false;  // its admission refuses all requests for now, or is another instance's
 };
@@ -56,7 +56,7 @@
     // the attempt in `history` and sets the hop's may_wait.
     bool may_send(Millis now, std::size_t live_proxies, const std::string& server, RequestHistory& history);
     // Interprets the end of an attempt and records it in `history`.
-    AttemptReading read(const AttemptEnd& end, RequestHistory& history);
+    HopAttemptResult read(const AttemptEnd& end, RequestHistory& history);
     // Proof that the request has not run; none if it may have.
     static std::optional<NotRun> proof(const RequestHistory& history);
     // Bounds the advice to a refused client when to retry, in ms.
@@ -74,10 +74,10 @@
     void count_failed() { ++counts_.failed; }
 
 private:
-    AttemptReading ran(RequestHistory& history, Outcome outcome, bool final);
-    AttemptReading interpret(const NoAnswer& end, RequestHistory& history);
-    AttemptReading interpret(const Failure& failure, RequestHistory& history);
-    AttemptReading interpret(const ServerAnswered& answer, RequestHistory& history);
+    HopAttemptResult ran(RequestHistory& history, Outcome outcome, bool final);
+    HopAttemptResult interpret(const NoAnswer& end, RequestHistory& history);
+    HopAttemptResult interpret(const Failure& failure, RequestHistory& history);
+    HopAttemptResult interpret(const ServerAnswered& answer, RequestHistory& history);
 
     admission::RetryBudget retry_budget_;
     Counts counts_;
--- a/src/net/dialect.cpp
+++ b/src/net/dialect.cpp
@@ -26,7 +26,7 @@
     return event;
 }
 
-Reading PlatformDialect::read(Outcome outcome, const HttpResponse* response, Story&) {
+AttemptResult PlatformDialect::read(Outcome outcome, const HttpResponse* response, Story&) {
     // A 4xx concerns the request and not the server: any other server would answer the same. It is passed on
     // unchanged, and the outcome `recalled` counts neither for nor against the server. 429 is not passed on,
     // as it would tell the client that the request never ran.
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -71,7 +71,7 @@
 void Sidecar::told(const HostList& list, bool saved) {
     const ListKind kind = saved ? ListKind::saved : list.whole ? ListKind::full : ListKind::incremental;
     holds_list_ = true;
-    const std::vector<ServerInfo> listed = caller_.told(kind, list.whole, list.hosts);
+    const std::vector<ServerInfo> listed = caller_.update_servers(kind, list.whole, list.hosts);
     if (observer_) observer_->listed(listed, list.whole);
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -105,7 +105,7 @@
     bool may_send(const RequestPtr& message, Story& story, const std::string& server) {
         return dialect_.may_send(*message, story, server);
     }
-    Reading read(Outcome outcome, const Response* response, Story& story) {
+    AttemptResult read(Outcome outcome, const Response* response, Story& story) {
         return dialect_.read(outcome, response, story);
     }
     void answer(const ClientPtr& client, Response&& response, bool own);
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -192,17 +192,17 @@
     });
 }
 
-bool Upstream::quiet(Connection& connection) {
+bool Upstream::is_reusable(Connection& connection) {
     return peek(connection.channel.socket) == PendingInput::nothing;
 }
 
-void Upstream::rest(const ConnectionPtr& connection) {
+void Upstream::watch_idle(const ConnectionPtr& connection) {
     Channel& channel = connection->channel;
     if (channel.output.capacity() > kReadBytes) channel.output = std::string();
     channel.interim_responses = 0;
     if (channel.input.capacity() > kReadBytes) channel.input.shrink_to_fit();
     channel.socket.async_wait(tcp::socket::wait_read,
-                              [this, connection](error_code) { pool_.woke(connection); });
+                              [this, connection](error_code) { pool_.idle_readable(connection); });
 }
 
 void Upstream::close(Connection& connection) {
@@ -216,7 +216,7 @@
     return manner_.stray && manner_.stray(*connection.job->request, response);
 }
 
-Millis Upstream::kept_for(const HttpResponse& response) const {
+Millis Upstream::keep_alive_time(const HttpResponse& response) const {
     return manner_.heeds_keep_alive ? keep_alive_timeout_ms(response) : 0;
 }
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -86,14 +86,14 @@
     void connect(const ConnectionPtr& connection);
     void write(const ConnectionPtr& connection);
     void read(const ConnectionPtr& connection);
-    bool quiet(Connection& connection);
-    void rest(const ConnectionPtr& connection);
+    bool is_reusable(Connection& connection);
+    void watch_idle(const ConnectionPtr& connection);
     void set_timer(const ConnectionPtr& connection, Millis at);
     void cancel_timer(Connection& connection);
     void close(Connection& connection);
     bool is_stray(const Connection& connection, const HttpResponse& response) const;
     Outcome judge(const HttpResponse& response) const { return manner_.judge(response); }
-    Millis kept_for(const HttpResponse& response) const;
+    Millis keep_alive_time(const HttpResponse& response) const;
     void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
         handlers_.attempt_ended(key, outcome, response);
     }
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -55,13 +55,15 @@
                 manner()),
       timer_(io) {}
 
-bool Inbound::beat(const std::string& instance_id, std::uint32_t capacity, bool closing,
-                   std::uint64_t call_seq) {
-    if (instance_id != admission().life()) upstream_.retire(0);
-    return requests_.beat(clock_.now(), instance_id, capacity, closing, call_seq);
+bool Inbound::on_heartbeat(const std::string& instance_id, std::uint32_t capacity, bool closing,
+                           std::uint64_t call_seq) {
+    if (instance_id != admission().instance_id()) upstream_.retire(0);
+    return requests_.on_heartbeat(clock_.now(), instance_id, capacity, closing, call_seq);
 }
 
-void Inbound::gone(const std::string& instance_id) { requests_.gone(clock_.now(), instance_id); }
+void Inbound::on_deregistered(const std::string& instance_id) {
+    requests_.on_deregistered(clock_.now(), instance_id);
+}
 
 void Inbound::leave() { requests_.leave(clock_.now()); }
 
@@ -88,8 +90,8 @@
                              [=, this](error_code ec, std::size_t) {
                                  if (ec || check->response.result_int() != 200) return;
                                  const std::string instance_id(check->response["Instance"]);
-                                 if (instance_id.empty() || !admission().life().empty()) return;
-                                 requests_.seen_well(clock_.now(), instance_id, capacity);
+                                 if (instance_id.empty() || !admission().instance_id().empty()) return;
+                                 requests_.on_healthy(clock_.now(), instance_id, capacity);
                                  on_healthy(instance_id);
                              });
         });
@@ -120,7 +122,7 @@
     if (hop.edition > callbacks_.edition()) callbacks_.on_newer_edition(hop.edition);
     admission::Arrival arrival;
     arrival.id = std::string((*request)[kRequestId]);
-    arrival.life = std::string((*request)[kInstance]);
+    arrival.instance_id = std::string((*request)[kInstance]);
     arrival.once = hop.once();
     arrival.may_wait = hop.may_wait;
     arrival.rank = hop.rank;
@@ -149,7 +151,7 @@
 }
 
 void Inbound::ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response) {
-    admission::ServerEnd end;
+    admission::ServerResult end;
     end.success = outcome == Outcome::completed;
     HttpResponse said;
     if (response) {
@@ -188,11 +190,11 @@
     if (requests_.withdraw(id)) held_.erase(id);
 }
 
-void Inbound::look_soon() {
-    asio::post(io_, [this] { requests_.look(clock_.now()); });
+void Inbound::schedule_advance() {
+    asio::post(io_, [this] { requests_.advance(clock_.now()); });
 }
 
-void Inbound::look_at(Millis when) {
+void Inbound::set_timer(Millis when) {
     timer_.expires_at(clock_.point(when));
     timer_.async_wait([this](error_code ec) {
         if (!ec) requests_.timer_fired(clock_.now());
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -30,8 +30,9 @@
             const PacedLink* link = nullptr);
 
     // The server's heartbeats and deregistration; see Admission.
-    bool beat(const std::string& instance_id, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
-    void gone(const std::string& instance_id);
+    bool on_heartbeat(const std::string& instance_id, std::uint32_t capacity, bool closing,
+                      std::uint64_t call_seq);
+    void on_deregistered(const std::string& instance_id);
     // Sends one health check to the server to learn its instance id, for use when the proxy has restarted and
     // has not received a heartbeat. `on_healthy` is called if the server is healthy and its instance was
     // still unknown.
@@ -62,8 +63,8 @@
     void refuse(admission::Ticket ticket, Reason reason) override;
     void expire(admission::Ticket ticket) override { upstream_.expire({ticket, 0}); }
     void cancel(admission::Ticket ticket) override { upstream_.cancel({ticket, 0}); }
-    void look_soon() override;
-    void look_at(Millis when) override;
+    void schedule_advance() override;
+    void set_timer(Millis when) override;
 
     std::optional<admission::LinkState> link_state() const;
     void ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response);
--- a/src/proxy/mesh_dialect.cpp
+++ b/src/proxy/mesh_dialect.cpp
@@ -51,16 +51,16 @@
     return true;
 }
 
-Reading MeshDialect::read(Outcome outcome, const HttpResponse* response, Story& story) {
+AttemptResult MeshDialect::read(Outcome outcome, const HttpResponse* response, Story& story) {
     RequestHistory& history = history_of(story);
     if (response)
         if (const auto edition = (*response)[kEdition]; !edition.empty())
             dependencies_.on_peer_edition(history.server,
                                           static_cast<std::uint64_t>(parse_ms(edition).value_or(0)));
-    const hop::AttemptReading result = rules_.read(attempt_end(outcome, response), history);
+    const hop::HopAttemptResult result = rules_.read(attempt_end(outcome, response), history);
     if (result.avoid_server) dependencies_.avoid(history.server);
     if (result.keep_answer) story.last = *response;
-    return result.reading;
+    return result.attempt;
 }
 
 void MeshDialect::tidy(HttpResponse& response) {
--- a/src/proxy/mesh_dialect.hpp
+++ b/src/proxy/mesh_dialect.hpp
@@ -29,7 +29,7 @@
     UpstreamManner manner() override;
     RequestArrived classify(const HttpRequest& message, Story& story) override;
     bool may_send(HttpRequest& message, Story& story, const std::string& server) override;
-    Reading read(Outcome outcome, const HttpResponse* response, Story& story) override;
+    AttemptResult read(Outcome outcome, const HttpResponse* response, Story& story) override;
     void tidy(HttpResponse& response) override;
     HttpResponse refusal(Story& story, Millis retry_in) override;
     HttpResponse failure(Story& story) override;
--- a/src/proxy/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -24,12 +24,13 @@
 constexpr Millis kLeavingRetryMs = 60;  // soon, as another proxy has to be used
 
 HttpResponse no_configuration_refusal() {
-    return refusal(*NotRun::from({Execution::not_run, Reason::no_configuration}), routing::kRetryUnsettled);
+    return refusal(*NotRun::from({Execution::not_run, Reason::no_configuration}),
+                   routing::kNoConfigurationRetryMs);
 }
 
 Host host_of(const routing::ListedServer& server) {
     Host host;
-    host.name = server.life;
+    host.name = server.instance_id;
     host.dial = {asio::ip::address_v4(server.ip), server.traffic_port};
     host.zone = server.zone;
     host.born = server.born;
@@ -177,8 +178,8 @@
             for (const routing::ListedServer& server : at->second) list.hosts.push_back(host_of(server));
         service_client->sidecar->told(list);
     }
-    if (lists.again_at == 0) return;
-    avoid_timer_.expires_at(clock_.point(lists.again_at));
+    if (lists.first_avoid_expiry == 0) return;
+    avoid_timer_.expires_at(clock_.point(lists.first_avoid_expiry));
     avoid_timer_.async_wait([this, alive = alive_](error_code ec) {
         if (*alive && !ec) registry_changed();
     });
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -117,7 +117,8 @@
 bool Proxy::ready() const { return !leaving_ && outbound_.has_configuration() && gossip_.joined(); }
 
 void Proxy::on_heartbeat(const Heartbeat& heartbeat) {
-    if (!inbound_.beat(heartbeat.instance_id, heartbeat.capacity, heartbeat.closing, heartbeat.call_seq))
+    if (!inbound_.on_heartbeat(heartbeat.instance_id, heartbeat.capacity, heartbeat.closing,
+                               heartbeat.call_seq))
         return;
     gossip_.tell([&](registry::NodeRecord& own) {
         registry::ServerRecord server;
@@ -135,7 +136,7 @@
 }
 
 void Proxy::on_deregistered(const std::string& instance_id) {
-    inbound_.gone(instance_id);
+    inbound_.on_deregistered(instance_id);
     gossip_.tell([&](registry::NodeRecord& own) {
         if (own.server && own.server->life == instance_id) own.server->closing = true;
     });
@@ -183,7 +184,8 @@
 }
 
 void Proxy::check_health(const config::Configuration& configuration) {
-    if (boot_.first_boot || health_checked_ || !boot_.app_address || !inbound_.admission().life().empty())
+    if (boot_.first_boot || health_checked_ || !boot_.app_address ||
+        !inbound_.admission().instance_id().empty())
         return;
     const auto service = configuration.services.find(boot_.service);
     if (service == configuration.services.end()) return;
@@ -246,7 +248,7 @@
         carry_out(*step);
         if (*step == shutdown::Step::end) return;
     }
-    timer_.expires_at(clock_.point(shutdown_->next_look(clock_.now())));
+    timer_.expires_at(clock_.point(shutdown_->next_check(clock_.now())));
     timer_.async_wait([this](error_code ec) {
         if (!ec) advance_shutdown();
     });
@@ -304,7 +306,7 @@
     all["configuration"] = Json::UInt64(in_force_);
     all["configuration_held"] = Json::UInt64(distributor_.edition());
     all["configuration_confirmed"] = was_confirmed_;
-    all["life"] = inbound_.admission().life();
+    all["life"] = inbound_.admission().instance_id();
     all["capacity"] = inbound_.admission().capacity();
     all["closing"] = inbound_.admission().closing();
     all["working"] = Json::UInt64(inbound_.admission().working());
--- a/src/routing/early_requests.hpp
+++ b/src/routing/early_requests.hpp
@@ -11,7 +11,7 @@
 
 namespace cobaltshift::routing {
 
-constexpr Millis kRetryUnsettled = 500;  // ms; advice to a refused client when to retry
+constexpr Millis kNoConfigurationRetryMs = 500;  // ms; advice to a refused client when to retry
 
 template <class Request>
 class EarlyRequests {
--- a/src/routing/server_directory.cpp
+++ b/src/routing/server_directory.cpp
@@ -34,12 +34,13 @@
         ip_of_[server.life] = node.ip;
         const auto avoided = avoided_until_.find(server.life);
         if (avoided != avoided_until_.end())
-            lists.again_at =
-                lists.again_at == 0 ? avoided->second : std::min(lists.again_at, avoided->second);
+            lists.first_avoid_expiry = lists.first_avoid_expiry == 0
+                                           ? avoided->second
+                                           : std::min(lists.first_avoid_expiry, avoided->second);
         const bool open = node.ready && !node.leaving && !server.closing &&
                           standing == registry::Standing::alive && avoided == avoided_until_.end();
         ListedServer listed;
-        listed.life = server.life;
+        listed.instance_id = server.life;
         listed.ip = node.ip;
         listed.traffic_port = node.traffic_port;
         listed.zone = node.zone;
--- a/src/routing/server_directory.hpp
+++ b/src/routing/server_directory.hpp
@@ -15,7 +15,7 @@
 namespace cobaltshift::routing {
 
 struct ListedServer {
-    std::string life;  // of the server process
+    std::string instance_id;  // of the server process
     std::uint32_t ip = 0;
     std::uint16_t traffic_port = 0;
     std::string zone;
@@ -30,7 +30,7 @@
     using EachNode = std::function<void(const Visitor&)>;
     struct Lists {
         std::map<std::string, std::vector<ListedServer>> by_service;
-        Millis again_at = 0;  // when the first avoided server may be used again; 0: none is avoided
+        Millis first_avoid_expiry = 0;  // when the first avoided server may be used again; 0: none is avoided
     };
 
     // The admission of this instance refuses all requests for now, or is another instance's: the server is
--- a/src/shutdown/shutdown_sequence.hpp
+++ b/src/shutdown/shutdown_sequence.hpp
@@ -46,7 +46,7 @@
         return static_cast<Step>(next_++);
     }
     // When to call take_due() again.
-    Millis next_look(Millis now) const {
+    Millis next_check(Millis now) const {
         if (next_ == due_at_.size()) return now + kCheckIntervalMs;
         const bool waits = next_ > static_cast<std::size_t>(Step::refuse_new);
         return std::max(now, waits ? std::min(now + kCheckIntervalMs, due_at_[next_]) : due_at_[next_]);
--- a/src/sim_mesh/hop_connections.cpp
+++ b/src/sim_mesh/hop_connections.cpp
@@ -34,7 +34,7 @@
 void HopConnections::broken(const ConnectionPtr& connection) {
     connection->channel.reset = true;
     if (connection->state == ConnectionState::connecting) return pool_.connected(connection, false);
-    if (connection->state == ConnectionState::idle) return pool_.woke(connection);
+    if (connection->state == ConnectionState::idle) return pool_.idle_readable(connection);
     if (connection->state != ConnectionState::closed) pool_.broken(connection);
 }
 
--- a/src/sim_mesh/hop_connections.hpp
+++ b/src/sim_mesh/hop_connections.hpp
@@ -49,14 +49,14 @@
     void connect(const ConnectionPtr& connection);
     void write(const ConnectionPtr& connection);
     void read(const ConnectionPtr&) {}  // answers come by themselves
-    bool quiet(const Connection& connection) const { return !connection.channel.reset; }
-    void rest(const ConnectionPtr&) {}
+    bool is_reusable(const Connection& connection) const { return !connection.channel.reset; }
+    void watch_idle(const ConnectionPtr&) {}
     void set_timer(const ConnectionPtr& connection, Millis at);
     void cancel_timer(Connection& connection) { connection.channel.timer = 0; }
     void close(Connection& connection);
     bool is_stray(const Connection& connection, const HopAnswer& answer) const;
     kelplb::Outcome judge(const HopAnswer& answer) const;
-    Millis kept_for(const HopAnswer&) const { return 0; }
+    Millis keep_alive_time(const HopAnswer&) const { return 0; }
     void attempt_ended(AttemptKey key, kelplb::Outcome outcome, HopAnswer* answer) {
         handlers_.attempt_ended(key, outcome, answer);
     }
--- a/src/sim_mesh/inbound.cpp
+++ b/src/sim_mesh/inbound.cpp
@@ -30,19 +30,19 @@
                    }) {}
 
 bool Inbound::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t seq) {
-    if (life != admission().life()) connections_.pool().retire(0);
-    return requests_.beat(world_.time.now(), life, capacity,
-                          closing && world_.safeguards.closing_at_admission, seq);
+    if (life != admission().instance_id()) connections_.pool().retire(0);
+    return requests_.on_heartbeat(world_.time.now(), life, capacity,
+                                  closing && world_.safeguards.closing_at_admission, seq);
 }
 
 void Inbound::gone(const std::string& life) {
-    if (world_.safeguards.closing_at_admission) requests_.gone(world_.time.now(), life);
+    if (world_.safeguards.closing_at_admission) requests_.on_deregistered(world_.time.now(), life);
 }
 
 void Inbound::leave() { requests_.leave(world_.time.now()); }
 
 void Inbound::seen_well(const std::string& life, std::uint32_t capacity) {
-    requests_.seen_well(world_.time.now(), life, capacity);
+    requests_.on_healthy(world_.time.now(), life, capacity);
 }
 
 void Inbound::arrived(const HopMessage& message, const CallPtr& call, Answered answered) {
@@ -51,7 +51,7 @@
     if (message.hop.edition > owner_.edition()) owner_.hop_newer(message.hop.edition);
     admission::Arrival arrival;
     arrival.id = message.id;
-    arrival.life = world_.safeguards.life_expected ? message.expected : admission().life();
+    arrival.instance_id = world_.safeguards.life_expected ? message.expected : admission().instance_id();
     arrival.once = message.hop.once() && world_.safeguards.once_at_admission;
     arrival.may_wait = message.hop.may_wait;
     arrival.rank = message.hop.rank;
@@ -75,7 +75,7 @@
 }
 
 void Inbound::ended(admission::Ticket ticket, kelplb::Outcome outcome, const ServerAnswer* said) {
-    admission::ServerEnd end;
+    admission::ServerResult end;
     end.success = outcome == kelplb::Outcome::completed;
     if (said) end.answer_bytes = 0;
     end.failure = said ? hop::failure_of_answer(head_of(*said)) : hop::failure_without_answer(outcome);
@@ -95,11 +95,11 @@
     answered(said);
 }
 
-void Inbound::look_soon() {
-    owner_.after(0, [this] { requests_.look(world_.time.now()); });
+void Inbound::schedule_advance() {
+    owner_.after(0, [this] { requests_.advance(world_.time.now()); });
 }
 
-void Inbound::look_at(Millis when) {
+void Inbound::set_timer(Millis when) {
     const std::uint64_t timer = ++timers_;
     world_.net.at(ip_, when, [this, timer] {
         if (timer == timers_) requests_.timer_fired(world_.time.now());
--- a/src/sim_mesh/inbound.hpp
+++ b/src/sim_mesh/inbound.hpp
@@ -34,8 +34,8 @@
     void refuse(admission::Ticket ticket, Reason reason) override;
     void expire(admission::Ticket ticket) override { connections_.pool().expire({ticket, 0}); }
     void cancel(admission::Ticket ticket) override { connections_.pool().cancel({ticket, 0}); }
-    void look_soon() override;
-    void look_at(Millis when) override;
+    void schedule_advance() override;
+    void set_timer(Millis when) override;
 
     void ended(admission::Ticket ticket, kelplb::Outcome outcome, const ServerAnswer* said);
     void answer(admission::Ticket ticket, HopAnswer said);
--- a/src/sim_mesh/pool.cpp
+++ b/src/sim_mesh/pool.cpp
@@ -51,8 +51,9 @@
     std::vector<Host> hosts;
     hosts.reserve(servers.size());
     for (const routing::ListedServer& server : servers)
-        hosts.push_back({server.life, server.ip, server.zone, 0, server.phase, server.born, server.units});
-    caller_.told(ListKind::full, true, hosts);
+        hosts.push_back(
+            {server.instance_id, server.ip, server.zone, 0, server.phase, server.born, server.units});
+    caller_.update_servers(ListKind::full, true, hosts);
 }
 
 RequestId Pool::arrived(const simmesh::RequestPtr& request, const config::Route& route, Millis left,
@@ -100,15 +101,15 @@
     return true;
 }
 
-caller::Reading Pool::read(Outcome outcome, const HopAnswer* answer, Story& story) {
+caller::AttemptResult Pool::read(Outcome outcome, const HopAnswer* answer, Story& story) {
     hop::AttemptEnd end = hop::NoAnswer{outcome};
     if (answer && answer->edition > 0) owner_.newer(story.history.server, answer->edition);
     if (answer && answer->failure) end = *answer->failure;
     if (answer && !answer->failure) end = hop::ServerAnswered{answer->answer.status};
-    const hop::AttemptReading said = rules_.read(end, story.history);
+    const hop::HopAttemptResult said = rules_.read(end, story.history);
     if (said.avoid_server) owner_.avoid(story.history.server);
     if (said.keep_answer) story.last = *answer;
-    return said.reading;
+    return said.attempt;
 }
 
 void Pool::answer(const Answered& client, HopAnswer&& answer, bool) { client(answer.answer); }
--- a/src/sim_mesh/pool.hpp
+++ b/src/sim_mesh/pool.hpp
@@ -62,7 +62,7 @@
     void probe(ServerId id, Ip to) { connections_.pool().probe(id, to, std::make_shared<HopMessage>()); }
     RequestArrived classify(const RequestPtr& message, Story& story);
     bool may_send(const RequestPtr& message, Story& story, const std::string& server);
-    caller::Reading read(Outcome outcome, const HopAnswer* answer, Story& story);
+    caller::AttemptResult read(Outcome outcome, const HopAnswer* answer, Story& story);
     void answer(const Answered& client, HopAnswer&& answer, bool own);
     HopAnswer refusal(Story& story, Millis retry_in);
     HopAnswer failure(Story& story);
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -70,7 +70,8 @@
         const auto at = lists.by_service.find(name);
         pool->told(at == lists.by_service.end() ? std::vector<routing::ListedServer>() : at->second);
     }
-    if (lists.again_at > 0) world_.net.at(ip_, lists.again_at + 0.001, [this] { registry_changed(); });
+    if (lists.first_avoid_expiry > 0)
+        world_.net.at(ip_, lists.first_avoid_expiry + 0.001, [this] { registry_changed(); });
 }
 
 void Proxy::avoid(const std::string& life) {
@@ -122,14 +123,14 @@
 void Proxy::on_new_configuration() {
     reconsider_configuration();
     tell([this](registry::NodeRecord& own) { own.config_edition = edition(); });
-    if (first_boot_ || asked_health_ || !inbound_.admission().life().empty() ||
+    if (first_boot_ || asked_health_ || !inbound_.admission().instance_id().empty() ||
         !world_.safeguards.hears_beats)
         return;
     asked_health_ = true;
     const Server* server = world_.server(ip_);
     if (!server || server->closing()) return;  // 503 when draining
     after(1, [this, life = server->life()] {
-        if (!inbound_.admission().life().empty()) return;
+        if (!inbound_.admission().instance_id().empty()) return;
         inbound_.seen_well(life, kCapacityUnheard);
         tell([&](registry::NodeRecord& own) {
             registry::ServerRecord record;
@@ -157,7 +158,7 @@
         world_.net.at(ip_, early_.until(), [this] { refuse_early(); });
     } else {
         tell_handled(*request);
-        done({503, {}, routing::kRetryUnsettled, false});
+        done({503, {}, routing::kNoConfigurationRetryMs, false});
     }
     return number;
 }
@@ -193,7 +194,7 @@
 void Proxy::refuse_early() {
     for (const auto& early : early_.take()) {
         tell_handled(*early.request.request);
-        early.request.done({503, {}, routing::kRetryUnsettled, false});
+        early.request.done({503, {}, routing::kNoConfigurationRetryMs, false});
     }
     early_numbers_.clear();
 }
@@ -232,7 +233,7 @@
         if (*step == shutdown::Step::end) return world_.time.after(0, done);
         carry_out(*step);
     }
-    after(std::max(shutdown_->next_look(now()) - now(), 0.001), [this, done] { proceed_to_end(done); });
+    after(std::max(shutdown_->next_check(now()) - now(), 0.001), [this, done] { proceed_to_end(done); });
 }
 
 void Proxy::carry_out(shutdown::Step step) {
--- a/src/sim_mesh/server_connections.cpp
+++ b/src/sim_mesh/server_connections.cpp
@@ -93,7 +93,7 @@
 
 void ServerConnections::look(const ConnectionPtr& connection) {
     std::deque<ServerAnswer>& unread = connection->channel.unread;
-    if (connection->state == ConnectionState::idle) return pool_.woke(connection);
+    if (connection->state == ConnectionState::idle) return pool_.idle_readable(connection);
     if (connection->state != ConnectionState::reading || unread.empty()) return;
     ServerAnswer answer = unread.front();
     unread.pop_front();
--- a/src/sim_mesh/server_connections.hpp
+++ b/src/sim_mesh/server_connections.hpp
@@ -39,14 +39,14 @@
     void connect(const ConnectionPtr& connection);
     void write(const ConnectionPtr& connection);
     void read(const ConnectionPtr& connection);
-    bool quiet(const Connection& connection) const { return connection.channel.unread.empty(); }
-    void rest(const ConnectionPtr&) {}
+    bool is_reusable(const Connection& connection) const { return connection.channel.unread.empty(); }
+    void watch_idle(const ConnectionPtr&) {}
     void set_timer(const ConnectionPtr& connection, Millis at);
     void cancel_timer(Connection& connection) { connection.channel.timer = 0; }
     void close(Connection& connection);
     bool is_stray(const Connection& connection, const ServerAnswer& answer) const;
     kelplb::Outcome judge(const ServerAnswer& answer) const;
-    Millis kept_for(const ServerAnswer&) const { return 0; }
+    Millis keep_alive_time(const ServerAnswer&) const { return 0; }
     void attempt_ended(AttemptKey key, kelplb::Outcome outcome, ServerAnswer* answer) {
         ended_(key, outcome, answer);
     }
--- a/tests/mesh/heartbeat_resource_test.cpp
+++ b/tests/mesh/heartbeat_resource_test.cpp
@@ -165,11 +165,12 @@
 TEST_CASE("heartbeats: a late heartbeat is acknowledged and changes nothing") {
     admission::Admission admission;
     std::vector<bool> taken;
-    HeartbeatResource beats({[&](const Heartbeat& heartbeat) {
-                                 taken.push_back(admission.beat(heartbeat.instance_id, heartbeat.capacity,
-                                                                heartbeat.closing, heartbeat.call_seq));
-                             },
-                             [&](const std::string& instance_id) { admission.gone(instance_id); }});
+    HeartbeatResource beats(
+        {[&](const Heartbeat& heartbeat) {
+             taken.push_back(admission.on_heartbeat(heartbeat.instance_id, heartbeat.capacity,
+                                                    heartbeat.closing, heartbeat.call_seq));
+         },
+         [&](const std::string& instance_id) { admission.on_deregistered(instance_id); }});
     unsigned status = 0;
     const auto put = [&](const std::string& body) {
         beats.handle({"PUT", "/api/servers/i-1", body, "", ""},
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -276,7 +276,7 @@
     for (int i = 0; i < 20; ++i) {
         REQUIRE(caller.send());
         const HttpResponse answer = proxy_answer({Execution::not_run, Reason::full});
-        const Reading reading = caller.dialect.read(Outcome::errored, &answer, caller.story);
+        const AttemptResult reading = caller.dialect.read(Outcome::errored, &answer, caller.story);
         CHECK_FALSE(reading.final);
         CHECK_FALSE(reading.reached_server);
     }
@@ -320,7 +320,7 @@
         : app(std::move(reply)),
           boot(beside(app)),
           inbound(io, clock, boot, {[] { return std::uint64_t{1}; }, newer}) {
-        if (capacity > 0) inbound.beat("i-0", capacity, false, 1);
+        if (capacity > 0) inbound.on_heartbeat("i-0", capacity, false, 1);
     }
     static boot::Boot beside(const lab::FakeServer& app) {
         const std::string at = app.at();
@@ -404,7 +404,7 @@
     CHECK(verdict_of(InboundFixture::a_request("a")) == "not-run repeated");
     CHECK(verdict_of(InboundFixture::a_request("b", "i-9")) == "not-run wrong-life");
     CHECK(verdict_of(InboundFixture::a_request("b", "i-0", "0")) == "not-run late");
-    fixture.inbound.beat("i-0", 4, true, 2);
+    fixture.inbound.on_heartbeat("i-0", 4, true, 2);
     CHECK(verdict_of(InboundFixture::a_request("c")) == "not-run closing");
     fixture.inbound.leave();
     CHECK(verdict_of(InboundFixture::a_request("d")) == "not-run leaving");
@@ -423,7 +423,7 @@
     CHECK(fixture.inbound.admission().waiting() == 0);
     const auto waits = fixture.send(InboundFixture::a_request("c"));
     CHECK(fixture.inbound.admission().waiting() == 1);
-    fixture.inbound.gone("i-0");
+    fixture.inbound.on_deregistered("i-0");
     CHECK(fixture.answered(waits));
     CHECK(waits->verdict() == "not-run closing");
     release.set_value();
--- a/tests/mesh/incident_lost_link_test.cpp
+++ b/tests/mesh/incident_lost_link_test.cpp
@@ -30,7 +30,7 @@
 public:
     ServerMachine(std::uint64_t seed, double offered)
         : random_(seed), offered_(offered), scheduler_(settings()) {
-        requests_.beat(0, "i-1", kSlots, false, 1);
+        requests_.on_heartbeat(0, "i-1", kSlots, false, 1);
         at(0, [this] { arrive(); });
     }
     void run() {
@@ -71,7 +71,7 @@
         arrived_at_[ticket] = now_;
         admission::Arrival arrival;
         arrival.id = std::to_string(ticket);
-        arrival.life = "i-1";
+        arrival.instance_id = "i-1";
         arrival.once = false;
         arrival.may_wait = true;
         arrival.kind = {2, 0, static_cast<long>(kTargetMs)};
@@ -115,10 +115,10 @@
     void refuse(admission::Ticket, Reason) override {}
     void expire(admission::Ticket) override {}
     void cancel(admission::Ticket) override {}
-    void look_soon() override {
-        at(now_, [this] { requests_.look(now_); });
+    void schedule_advance() override {
+        at(now_, [this] { requests_.advance(now_); });
     }
-    void look_at(Millis when) override {
+    void set_timer(Millis when) override {
         at(when, [this] { requests_.timer_fired(now_); });
     }
 
--- a/tests/mesh/proxy_io_test.cpp
+++ b/tests/mesh/proxy_io_test.cpp
@@ -95,7 +95,7 @@
             server_sides_.push_back(std::make_unique<ServerSide>(
                 io_, clock_, "i-" + std::to_string(server_sides_.size()), std::move(reply)));
             records_.push_back(server_sides_.back()->record(capacity));
-            server_sides_.back()->inbound.beat(server_sides_.back()->instance_id, capacity, false, 1);
+            server_sides_.back()->inbound.on_heartbeat(server_sides_.back()->instance_id, capacity, false, 1);
         }
         outbound_ = std::make_unique<Outbound>(
             io_, clock_, boot_,
--- a/tests/mesh/send_scheduler_test.cpp
+++ b/tests/mesh/send_scheduler_test.cpp
@@ -78,27 +78,27 @@
 
 TEST_CASE("admission: a request whose answer the link can't deliver in time is refused before it runs") {
     admission::Admission one;
-    one.beat("i-1", 6, false, 1);
+    one.on_heartbeat("i-1", 6, false, 1);
     admission::Offer offer;
-    offer.ticket = 1, offer.id = "a", offer.life = "i-1", offer.once = false;
+    offer.ticket = 1, offer.id = "a", offer.instance_id = "i-1", offer.once = false;
     offer.deadline = 5000, offer.due = 1000;
     offer.link_time = 100, offer.link_wait = 550;
-    CHECK(one.offer(0, offer).act == admission::Act::begin);
+    CHECK(one.offer(0, offer).disposition == admission::Disposition::begin);
     offer.ticket = 2, offer.id = "b", offer.link_wait = 650;
-    const admission::Answer said = one.offer(0, offer);
-    CHECK(said.act == admission::Act::refuse);
+    const admission::Decision said = one.offer(0, offer);
+    CHECK(said.disposition == admission::Disposition::refuse);
     CHECK(said.reason == Reason::full);
     offer.ticket = 3, offer.id = "c", offer.link_time = 0;  // a short answer does not wait for long ones
-    CHECK(one.offer(0, offer).act == admission::Act::begin);
+    CHECK(one.offer(0, offer).disposition == admission::Disposition::begin);
 }
 
 TEST_CASE("answer sizes: learnt per kind of request, in bounded memory") {
     admission::AnswerSizes sizes;
     CHECK(sizes.expected({2, 1, 600}) == 0);
-    sizes.learn({2, 1, 600}, 90000);
+    sizes.record({2, 1, 600}, 90000);
     CHECK(sizes.expected({2, 1, 600}) == 90000);
-    sizes.learn({2, 1, 600}, 100000);
+    sizes.record({2, 1, 600}, 100000);
     CHECK(sizes.expected({2, 1, 600}) == 91000);
-    for (int rank = 0; rank < 1000; ++rank) sizes.learn({0, rank, 1}, 5);
+    for (int rank = 0; rank < 1000; ++rank) sizes.record({0, rank, 1}, 5);
     CHECK(sizes.expected({0, 900, 1}) == 0);
 }
