--- a/src/config/config_state_machine.cpp
+++ b/src/config/config_state_machine.cpp
@@ -43,12 +43,12 @@
 // Leaves the configuration of a valid change in prepared_.
 ChangeOutcome ConfigStateMachine::evaluate(const Change& change, const Digest& digest) {
     if (const auto known = applied_by_digest_.find(digest); known != applied_by_digest_.end())
-        return {ChangeOutcome::Kind::already, known->second, {}};
+        return {ChangeOutcome::Kind::duplicate, known->second, {}};
     if (change.if_match != edition()) return {ChangeOutcome::Kind::stale, edition(), {}};
     if (!prepared_.configuration || prepared_.digest != digest || prepared_.base != edition()) {
         Parsed parsed;
         if (change.kind == Change::Kind::put)
-            parsed = read_whole(change.body, edition());
+            parsed = parse_configuration(change.body, edition());
         else if (current_)
             parsed = patch(*current_, change.body);
         else
--- a/src/config/config_state_machine.hpp
+++ b/src/config/config_state_machine.hpp
@@ -33,10 +33,10 @@
 std::optional<Change> decode_change(std::string_view bytes);
 
 struct ChangeOutcome {
-    // taken: applied; already: applied before; stale: not based on the current edition.
-    enum class Kind : std::uint8_t { taken, already, stale, invalid };
+    // taken: applied; duplicate: applied before; stale: not based on the current edition.
+    enum class Kind : std::uint8_t { taken, duplicate, stale, invalid };
     Kind kind = Kind::invalid;
-    Edition edition = 0;  // taken, already: the edition of the change; else the current edition
+    Edition edition = 0;  // taken, duplicate: the edition of the change; else the current edition
     std::vector<std::string> complaints;  // invalid: what is wrong
 };
 
--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -240,7 +240,7 @@
 
 std::string to_text(Edition edition) { return 'r' + std::to_string(edition); }
 
-Parsed read_whole(std::string_view json, Edition above) {
+Parsed parse_configuration(std::string_view json, Edition above) {
     Complaints complaints;
     Json::Value root;
     if (!parse(json, "body", root, complaints)) return {nullptr, std::move(complaints.all)};
--- a/src/config/parse.hpp
+++ b/src/config/parse.hpp
@@ -22,7 +22,7 @@
 std::string to_text(Edition edition);  // "r12"
 
 // Reads a full configuration, whose edition must be above `above`, the current one.
-Parsed read_whole(std::string_view json, Edition above);
+Parsed parse_configuration(std::string_view json, Edition above);
 // Applies a patch (upserts and removals by name) to `base`.
 Parsed patch(const Configuration& base, std::string_view json);
 // The full configuration as the operator reads it back.
--- a/src/config_io/config_distributor.cpp
+++ b/src/config_io/config_distributor.cpp
@@ -394,7 +394,7 @@
     if (end == End::newer) {
         ++counts_.fetched;
         cancel_fetches();
-        if (on_new) on_new(held_);
+        if (on_new_configuration) on_new_configuration(held_);
     }
     fetch();
 }
--- a/src/config_io/config_distributor.hpp
+++ b/src/config_io/config_distributor.hpp
@@ -53,7 +53,7 @@
     // Optional.
     std::function<std::vector<std::uint32_t>()> control_nodes;
     // Called when a newer configuration was fetched.
-    std::function<void(std::shared_ptr<const Configuration>)> on_new;
+    std::function<void(std::shared_ptr<const Configuration>)> on_new_configuration;
     // For control nodes: determines the current edition with a majority and passes it on. If it is not set,
     // queries are answered with `unavailable`.
     std::function<void(std::function<void(CurrentAnswer)>)> on_ask_current;
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -209,7 +209,7 @@
         change_in_flight_ = true;
         return false;
     }
-    if (outcome.kind == Kind::already) {  // committed before, so no confirmation is needed
+    if (outcome.kind == Kind::duplicate) {  // committed before, so no confirmation is needed
         reply.kind = Reply::Kind::taken;
         return answer(one, std::move(reply)), true;
     }
--- a/src/failure_detector/failure_detector.cpp
+++ b/src/failure_detector/failure_detector.cpp
@@ -24,24 +24,24 @@
     member.next_probe_at = own ? now + settings_.suspect_probe_interval : 1e18;
 }
 
-void FailureDetector::set(Millis now, std::uint32_t ip, Standing standing) {
+void FailureDetector::set(Millis now, std::uint32_t ip, MemberState state) {
     Member* member = find(ip);
     if (!member) {
-        member = &*members_.insert(at(ip), Member{ip, standing});
+        member = &*members_.insert(at(ip), Member{ip, state});
         // At a random position in the rest of the round (SWIM, section 4.3).
         const std::size_t place = cursor_ + random_.below(round_.size() - cursor_ + 1);
         round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(place), ip);
-    } else if (member->standing == standing) {
+    } else if (member->state == state) {
         return;
     } else {
-        suspect_count_ -= member->standing == Standing::suspect;
-        gone_count_ -= member->standing == Standing::gone;
+        suspect_count_ -= member->state == MemberState::suspect;
+        gone_count_ -= member->state == MemberState::gone;
     }
-    suspect_count_ += standing == Standing::suspect;
-    gone_count_ += standing == Standing::gone;
-    member->standing = standing;
-    if (standing == Standing::suspect) start_suspicion(now, *member, false);
-    if (standing == Standing::gone && gone_count_ == 1)
+    suspect_count_ += state == MemberState::suspect;
+    gone_count_ += state == MemberState::gone;
+    member->state = state;
+    if (state == MemberState::suspect) start_suspicion(now, *member, false);
+    if (state == MemberState::gone && gone_count_ == 1)
         next_gone_probe_at_ = now + settings_.gone_probe_interval * random_.unit();
     update_due();
 }
@@ -49,8 +49,8 @@
 void FailureDetector::remove(std::uint32_t ip) {
     const auto member = at(ip);
     if (member == members_.end() || member->ip != ip) return;
-    suspect_count_ -= member->standing == Standing::suspect;
-    gone_count_ -= member->standing == Standing::gone;
+    suspect_count_ -= member->state == MemberState::suspect;
+    gone_count_ -= member->state == MemberState::gone;
     members_.erase(member);
     const auto place = std::find(round_.begin(), round_.end(), ip);
     if (place - round_.begin() < static_cast<std::ptrdiff_t>(cursor_)) --cursor_;
@@ -61,7 +61,7 @@
 
 void FailureDetector::restart_suspicions(Millis now) {
     for (Member& member : members_)
-        if (member.standing == Standing::suspect) start_suspicion(now, member, member.own_suspicion);
+        if (member.state == MemberState::suspect) start_suspicion(now, member, member.own_suspicion);
 }
 
 void FailureDetector::on_answer(Millis now, std::uint32_t ip, Output& out) {
@@ -69,8 +69,8 @@
     if (now - last_answer_at_ > settings_.isolation_threshold) restart_suspicions(now);
     last_answer_at_ = now;
     std::erase_if(pending_, [&](const PendingProbe& pending) { return pending.ip == ip; });
-    if (Member* member = find(ip); member && member->standing == Standing::suspect) {
-        set(now, ip, Standing::alive);
+    if (Member* member = find(ip); member && member->state == MemberState::suspect) {
+        set(now, ip, MemberState::alive);
         out.cleared.push_back(ip);
     }
     update_due();
@@ -83,7 +83,7 @@
 
 void FailureDetector::probe_now(Millis now, std::uint32_t ip, Output& out) {
     const Member* member = find(ip);
-    if (!member || member->standing != Standing::alive || pending_.size() >= settings_.max_pending_probes)
+    if (!member || member->state != MemberState::alive || pending_.size() >= settings_.max_pending_probes)
         return;
     if (std::any_of(pending_.begin(), pending_.end(),
                     [&](const PendingProbe& pending) { return pending.ip == ip; }))
@@ -102,7 +102,7 @@
     for (std::size_t i = 0, place = start; wanted && i < 4 * settings_.indirect_probe_count + 8;
          ++i, place += step) {
         const Member& member = members_[place % members_.size()];
-        if (member.standing != Standing::alive || member.ip == pending.ip) continue;
+        if (member.state != MemberState::alive || member.ip == pending.ip) continue;
         if (std::find(chosen.begin(), chosen.end(), member.ip) != chosen.end()) {
             ++place;
             continue;
@@ -124,7 +124,7 @@
         const std::uint32_t ip = round_[cursor_++];
         const bool already_pending = std::any_of(
             pending_.begin(), pending_.end(), [&](const PendingProbe& pending) { return pending.ip == ip; });
-        if (find(ip)->standing == Standing::gone || already_pending) continue;
+        if (find(ip)->state == MemberState::gone || already_pending) continue;
         probe(now, ip, out);
         return;
     }
@@ -133,7 +133,7 @@
 void FailureDetector::probe_random_gone(Output& out) {
     std::size_t which = random_.below(gone_count_);
     for (const Member& member : members_)
-        if (member.standing == Standing::gone && which-- == 0) {
+        if (member.state == MemberState::gone && which-- == 0) {
             out.probes.push_back({member.ip, ++last_number_});
             return;
         }
@@ -161,19 +161,19 @@
         pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(i));
         ++consecutive_failures_;
         Member* member = find(ip);
-        if (!member || member->standing != Standing::alive || isolated()) continue;
-        set(now, ip, Standing::suspect);
+        if (!member || member->state != MemberState::alive || isolated()) continue;
+        set(now, ip, MemberState::suspect);
         start_suspicion(now, *member, true);
         out.suspected.push_back(ip);
     }
     for (std::size_t i = 0; suspect_count_ && i < members_.size(); ++i) {
         Member& member = members_[i];
-        if (member.standing != Standing::suspect) continue;
+        if (member.state != MemberState::suspect) continue;
         if (now >= member.expires_at) {
             if (last_answer_at_ <= member.suspected_at) {
                 member.expires_at = now + settings_.suspect_probe_interval;
             } else {
-                set(now, member.ip, Standing::gone);
+                set(now, member.ip, MemberState::gone);
                 out.gone.push_back(member.ip);
                 continue;
             }
@@ -217,7 +217,7 @@
                                   (pending.indirect_sent ? settings_.indirect_timeout : 0));
     if (suspect_count_)
         for (const Member& member : members_)
-            if (member.standing == Standing::suspect)
+            if (member.state == MemberState::suspect)
                 due_ = std::min({due_, member.expires_at, member.next_probe_at});
 }
 
--- a/src/failure_detector/failure_detector.hpp
+++ b/src/failure_detector/failure_detector.hpp
@@ -22,8 +22,8 @@
 
 namespace cobaltshift::failure_detector {
 
+using registry::MemberState;
 using registry::Millis;
-using registry::Standing;
 
 struct Settings {
     Millis probe_interval = 500;
@@ -61,7 +61,7 @@
 
     // Sets the state that a record or another node reports, and adds the member if it is not known. `suspect`
     // starts a relayed suspicion.
-    void set(Millis now, std::uint32_t ip, Standing standing);
+    void set(Millis now, std::uint32_t ip, MemberState state);
     void remove(std::uint32_t ip);
     // The member answered: a direct probe, an indirect one or a request.
     void on_answer(Millis now, std::uint32_t ip, Output& out);
@@ -81,7 +81,7 @@
 private:
     struct Member {
         std::uint32_t ip;
-        Standing standing;
+        MemberState state;
         bool own_suspicion = false;                                  // else relayed
         Millis suspected_at = 0, expires_at = 0, next_probe_at = 0;  // while suspect
     };
--- a/src/gossip/broadcast_tree.cpp
+++ b/src/gossip/broadcast_tree.cpp
@@ -10,7 +10,7 @@
 
 // Whether a is at least as new as b: by incarnation and seq, then by how bad the state is.
 bool at_least_as_new(const Key& a, const Key& b) {
-    return registry::newer(a, b) || (registry::same_version(a, b) && a.standing >= b.standing);
+    return registry::newer(a, b) || (registry::same_version(a, b) && a.state >= b.state);
 }
 
 std::uint64_t ring_position(unsigned ring, const registry::NodeRecord& record) {
@@ -31,7 +31,7 @@
         std::uint64_t after = UINT64_MAX, before = UINT64_MAX;
         std::uint32_t next = 0, last = 0;
         for (const registry::Entry& entry : registry.entries()) {
-            if (entry.standing == registry::Standing::gone || entry.record.ip == self.ip) continue;
+            if (entry.state == registry::MemberState::gone || entry.record.ip == self.ip) continue;
             const std::uint64_t place = ring_position(ring, entry.record);
             if (place - own < after) after = place - own, next = entry.record.ip;
             if (own - place < before) before = own - place, last = entry.record.ip;
--- a/src/gossip/compare.cpp
+++ b/src/gossip/compare.cpp
@@ -10,10 +10,10 @@
 
 using registry::Entry;
 using registry::kRanges;
+using registry::MemberState;
 using registry::newer;
 using registry::Registry;
 using registry::same_version;
-using registry::Standing;
 
 namespace {
 // If the table has not changed for this long, a differing digest is not just an update in transit.
@@ -34,13 +34,13 @@
 
 bool Gossip::knows_live_nodes() const {
     return std::any_of(registry_.entries().begin(), registry_.entries().end(), [&](const Entry& entry) {
-        return entry.record.ip != own_ip_ && entry.standing != Standing::gone;
+        return entry.record.ip != own_ip_ && entry.state != MemberState::gone;
     });
 }
 
 bool Gossip::is_lost_seed(std::uint32_t ip) const {
     const Entry* entry = registry_.find(ip);
-    return ip != own_ip_ && (!entry || entry->standing == Standing::gone);
+    return ip != own_ip_ && (!entry || entry->state == MemberState::gone);
 }
 
 std::uint32_t Gossip::random_live_node() {
@@ -48,7 +48,7 @@
     const std::size_t start = random_.below(entries.size());
     for (std::size_t i = 0; i < entries.size(); ++i) {
         const Entry& entry = entries[(start + i) % entries.size()];
-        if (entry.record.ip != own_ip_ && entry.standing == Standing::alive) return entry.record.ip;
+        if (entry.record.ip != own_ip_ && entry.state == MemberState::alive) return entry.record.ip;
     }
     return 0;
 }
@@ -101,7 +101,7 @@
     for (const Entry& entry : registry_.entries()) {
         if (!contains_ip(mask, entry.record.ip)) continue;
         keys[Registry::range_of(entry.record.ip)].push_back(entry.key());
-        if (entry.standing != Standing::gone && entry.record.ip != message.from.ip)
+        if (entry.state != MemberState::gone && entry.record.ip != message.from.ip)
             all.push_back(entry.key());
     }
     if (message.sender_is_new && all.size() > kFewNodes)
@@ -137,23 +137,23 @@
         }
         const Entry* entry = registry_.find(key.ip);
         if (!entry || newer(key, entry->record)) {
-            if (key.standing == Standing::gone) {
-                if (entry && entry->standing != Standing::gone) to_verify.push_back(key);
+            if (key.state == MemberState::gone) {
+                if (entry && entry->state != MemberState::gone) to_verify.push_back(key);
                 continue;
             }
             to_request.push_back(key);
             if (!entry) missing_node_seen_ = true;
         } else if (newer(entry->record, key)) {
             to_send.push_back(entry->key());
-        } else if (key.standing == Standing::gone && entry->standing != Standing::gone) {
+        } else if (key.state == MemberState::gone && entry->state != MemberState::gone) {
             to_verify.push_back(key);
-        } else if (entry->standing == Standing::gone && key.standing != Standing::gone) {
+        } else if (entry->state == MemberState::gone && key.state != MemberState::gone) {
             gone_here.push_back(entry->key());
         }
     }
     std::sort(listed.begin(), listed.end());
     for (const Entry& entry : registry_.entries())
-        if (contains_ip(message.complete_ranges, entry.record.ip) && entry.standing != Standing::gone &&
+        if (contains_ip(message.complete_ranges, entry.record.ip) && entry.state != MemberState::gone &&
             entry.record.ip != message.from.ip &&
             !std::binary_search(listed.begin(), listed.end(), entry.record.ip))
             to_send.push_back(entry.key());
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -6,11 +6,11 @@
 namespace cobaltshift::gossip {
 
 using registry::Entry;
+using registry::MemberState;
 using registry::newer;
 using registry::NodeRecord;
 using registry::Registry;
 using registry::same_version;
-using registry::Standing;
 
 namespace {
 constexpr std::size_t kMaxRelays = 64;
@@ -40,7 +40,7 @@
     tick(now);
 }
 
-Gossip::Output Gossip::take() {
+Gossip::Output Gossip::take_output() {
     if (now_ >= last_push_at_ + settings_.push_delay) send_updates(now_);
     auto& changed = out_.changed;
     std::sort(changed.begin(), changed.end());
@@ -64,7 +64,7 @@
     return message;
 }
 
-void Gossip::tell(Millis now, const NodeRecord& record) {
+void Gossip::update_self(Millis now, const NodeRecord& record) {
     now_ = now;
     NodeRecord next = record;
     const NodeRecord& own = self();
@@ -78,7 +78,7 @@
 }
 
 void Gossip::raise_version(Millis now, std::uint64_t incarnation, std::uint64_t seq) {
-    NodeRecord next = Registry::handed_on(now, *registry_.find(own_ip_));
+    NodeRecord next = Registry::current_record(now, *registry_.find(own_ip_));
     if (incarnation != next.incarnation) {
         ++counts_.incarnations_raised;
         out_.changed.push_back(own_ip_);
@@ -94,7 +94,7 @@
     const NodeRecord& own = self();
     if (key.incarnation > own.incarnation || (key.incarnation == own.incarnation && key.seq > own.seq)) {
         raise_version(now, key.incarnation + 1, 1);
-    } else if (same_version(key, own) && key.standing != Standing::alive) {
+    } else if (same_version(key, own) && key.state != MemberState::alive) {
         ++counts_.refuted;
         raise_version(now, own.incarnation, own.seq + 1);
     }
@@ -110,9 +110,9 @@
 }
 
 bool Gossip::apply_record(Millis now, const NodeRecord& record, std::uint32_t from, Via via) {
-    if (check_own_key(now, {record.ip, record.incarnation, record.seq, Standing::alive})) return false;
+    if (check_own_key(now, {record.ip, record.incarnation, record.seq, MemberState::alive})) return false;
     const Entry* known = registry_.find(record.ip);
-    const bool was_present = known && known->standing != Standing::gone;
+    const bool was_present = known && known->state != MemberState::gone;
     const bool same_incarnation = was_present && known->record.incarnation == record.incarnation;
     const Registry::MergeResult result = registry_.merge(now, record);
     if (result.outcome == Registry::MergeOutcome::refused) ++counts_.records_refused;
@@ -122,30 +122,30 @@
     if (result.changed) out_.changed.push_back(record.ip);
     if (record.config_edition > self().config_edition)
         out_.editions.push_back({record.ip, record.config_edition});
-    detector_.set(now, record.ip, Standing::alive);
-    tree_.on_received({record.ip, record.incarnation, record.seq, Standing::alive});
+    detector_.set(now, record.ip, MemberState::alive);
+    tree_.on_received({record.ip, record.incarnation, record.seq, MemberState::alive});
     // No other node may know a new incarnation yet, so it is pushed over the tree in any case.
     if (via != Via::initial_sync) forward(now, record.ip, from, via == Via::tree || !same_incarnation);
     return true;
 }
 
 bool Gossip::apply_state(Millis now, const Key& key, std::uint32_t from) {
-    if (key.standing == Standing::alive || check_own_key(now, key)) return false;
+    if (key.state == MemberState::alive || check_own_key(now, key)) return false;
     const Entry* entry = registry_.find(key.ip);
     if (!entry) return false;
     if (newer(entry->record, key)) {  // already refuted, which the sender does not know yet
         send_records(from, {entry->key()}, 1);
         return false;
     }
-    if (entry->standing >= key.standing) return false;
-    Standing new_state = key.standing;
-    if (key.standing == Standing::gone && entry->standing == Standing::alive && !entry->record.leaving) {
+    if (entry->state >= key.state) return false;
+    MemberState new_state = key.state;
+    if (key.state == MemberState::gone && entry->state == MemberState::alive && !entry->record.leaving) {
         // Neither this node nor perhaps the other one has seen a suspicion that could be refuted: the other
         // is asked, and becomes gone unless it answers.
         send_keys(key.ip, Kind::verify, {key});
-        new_state = Standing::suspect;
+        new_state = MemberState::suspect;
     }
-    if (new_state == Standing::gone) {
+    if (new_state == MemberState::gone) {
         registry_.mark_gone(now, key);
         links_outdated_ = true;
     } else if (newer(key, entry->record)) {  // suspected as of a record that this node lacks
@@ -161,7 +161,7 @@
     return true;
 }
 
-void Gossip::heard(Millis now, const Message& message) {
+void Gossip::on_message(Millis now, const Message& message) {
     now_ = now;
     if (message.from.ip == own_ip_ || message.from.ip == 0) return;
     bool any_new = false;
@@ -213,7 +213,7 @@
             for (const Key& key : message.keys) {
                 if (check_own_key(now, key)) continue;
                 const Entry* entry = registry_.find(key.ip);
-                if (!entry || entry->standing == Standing::gone || newer(entry->record, key)) continue;
+                if (!entry || entry->state == MemberState::gone || newer(entry->record, key)) continue;
                 send_keys(key.ip, Kind::verify, {key});  // if alive it refutes
                 detector_.probe_now(now, key.ip, detector_output);
             }
@@ -225,25 +225,25 @@
     const Sender& from = message.from;
     if (from.config_edition > self().config_edition) out_.editions.push_back({from.ip, from.config_edition});
     const Entry* entry = registry_.find(from.ip);
-    const Key key{from.ip, from.incarnation, from.seq, Standing::alive};
+    const Key key{from.ip, from.incarnation, from.seq, MemberState::alive};
     if (!entry || newer(key, entry->record)) {
         if (message.kind != Kind::announce) send_keys(from.ip, Kind::request, {key});  // else the tree grafts
     } else if (newer(entry->record, key)) {
         // The node restarted with a lower incarnation than before, or the message was delayed.
         send_records(from.ip, {entry->key()}, 1);
-    } else if (entry->standing == Standing::gone) {
+    } else if (entry->state == MemberState::gone) {
         send_keys(from.ip, Kind::verify, {entry->key()});
     }
 }
 
 void Gossip::probe(std::uint32_t to, std::uint32_t number) {
     const Entry* entry = registry_.find(to);
-    if (!entry || entry->standing == Standing::gone) {
+    if (!entry || entry->state == MemberState::gone) {
         Message full_probe = message(Kind::probe);
         full_probe.number = number;
         full_probe.target.ip = to;
         if (entry) full_probe.target = entry->key();
-        full_probe.records.push_back(Registry::handed_on(now_, *registry_.find(own_ip_)));
+        full_probe.records.push_back(Registry::current_record(now_, *registry_.find(own_ip_)));
         return send(to, std::move(full_probe));
     }
     Message probe = message(Kind::probe);
@@ -258,7 +258,7 @@
     ack.number = message.number;
     ack.target = registry_.find(own_ip_)->key();
     const bool behind = message.target.ip != own_ip_ || newer(self(), message.target);
-    if (behind) ack.records.push_back(Registry::handed_on(now, *registry_.find(own_ip_)));
+    if (behind) ack.records.push_back(Registry::current_record(now, *registry_.find(own_ip_)));
     send(message.from.ip, std::move(ack));
 }
 
@@ -288,7 +288,7 @@
     if (any_new) return tree_.on_graft(message.from.ip);
     std::vector<Key> keys = message.keys;
     for (const NodeRecord& record : message.records)
-        keys.push_back({record.ip, record.incarnation, record.seq, Standing::alive});
+        keys.push_back({record.ip, record.incarnation, record.seq, MemberState::alive});
     if (!tree_.on_duplicate(now, message.from.ip, keys)) return;
     ++counts_.duplicates;
     send(message.from.ip, this->message(Kind::prune));
@@ -298,8 +298,8 @@
     for (const Key& key : message.keys) {
         if (check_own_key(now, key)) continue;
         const Entry* entry = registry_.find(key.ip);
-        const bool up_to_date = entry && (newer(entry->record, key) || (same_version(entry->record, key) &&
-                                                                        entry->standing >= key.standing));
+        const bool up_to_date = entry && (newer(entry->record, key) ||
+                                          (same_version(entry->record, key) && entry->state >= key.state));
         if (!up_to_date) tree_.on_announce(now, message.from.ip, key);
     }
 }
@@ -308,14 +308,14 @@
     now_ = now;
     send_updates(now);
     const NodeRecord& own = self();
-    const Key key{own_ip_, own.incarnation, own.seq, Standing::gone};
+    const Key key{own_ip_, own.incarnation, own.seq, MemberState::gone};
     for (const auto& link : tree_.links()) send_keys(link.ip, Kind::push, {key});
 }
 
 void Gossip::reachable(Millis now, std::uint32_t ip) {
     now_ = now;
     const Entry* entry = registry_.find(ip);
-    if (entry && entry->standing == Standing::gone && now - last_gone_probe_at_ > kGoneProbeIntervalMs) {
+    if (entry && entry->state == MemberState::gone && now - last_gone_probe_at_ > kGoneProbeIntervalMs) {
         last_gone_probe_at_ = now;
         probe(ip, 0);  // only its own newer record brings it back
     }
@@ -334,20 +334,20 @@
 void Gossip::apply_detector_output(Millis now, failure_detector::FailureDetector::Output& out) {
     for (const std::uint32_t ip : out.suspected) {
         ++counts_.suspected;
-        if (!registry_.set_state(now, ip, Standing::suspect)) continue;
+        if (!registry_.set_state(now, ip, MemberState::suspect)) continue;
         out_.changed.push_back(ip);
         forward(now, ip, 0);
     }
     for (const std::uint32_t ip : out.gone) {
         ++counts_.gone;
-        if (!registry_.set_state(now, ip, Standing::gone)) continue;
+        if (!registry_.set_state(now, ip, MemberState::gone)) continue;
         last_change_at_ = now;
         links_outdated_ = true;
         out_.changed.push_back(ip);
         forward(now, ip, 0);
     }
     for (const std::uint32_t ip : out.cleared)
-        if (registry_.set_state(now, ip, Standing::alive)) out_.changed.push_back(ip);
+        if (registry_.set_state(now, ip, MemberState::alive)) out_.changed.push_back(ip);
     for (const auto& requested : out.probes) probe(requested.to, requested.number);
     for (const auto& ask : out.indirect_probes) {
         const Entry* entry = registry_.find(ask.target);
@@ -392,12 +392,12 @@
         for (const Key& key : push.keys) {
             const Entry* entry = registry_.find(key.ip);
             if (!entry) continue;
-            const bool alive = entry->standing == Standing::alive;
+            const bool alive = entry->state == MemberState::alive;
             const std::size_t size = alive ? max_encoded_bytes(entry->record) : kKeyBytes;
             if (bytes + size > kMaxRecordBytes) send_batch();
             bytes += size;
             if (alive)
-                batch.records.push_back(Registry::handed_on(now, *entry));
+                batch.records.push_back(Registry::current_record(now, *entry));
             else
                 batch.keys.push_back(entry->key());
         }
@@ -430,7 +430,7 @@
         if (!entry) continue;
         // A gone node's record is sent only to the node itself, which needs its last incarnation; other nodes
         // only learn that it is gone.
-        if (entry->standing == Standing::gone && key.ip != to) {
+        if (entry->state == MemberState::gone && key.ip != to) {
             gone.push_back(entry->key());
             continue;
         }
@@ -440,7 +440,7 @@
             send_batch();
         }
         bytes += size;
-        batch.records.push_back(Registry::handed_on(now_, *entry));
+        batch.records.push_back(Registry::current_record(now_, *entry));
     }
     send_batch();
     send_keys(to, Kind::verify, gone);
--- a/src/gossip/gossip.hpp
+++ b/src/gossip/gossip.hpp
@@ -62,16 +62,16 @@
     void start(Millis now);
     // Updates this node's own record; ip, incarnation and seq of `record` are ignored. Nothing is sent if
     // only call_seq or the remaining warm-up differs.
-    void tell(Millis now, const NodeRecord& record);
+    void update_self(Millis now, const NodeRecord& record);
     // Handles a received message. The caller has checked that it came from the IP that it names.
-    void heard(Millis now, const Message& message);
+    void on_message(Millis now, const Message& message);
     // Announces that this node shuts down. If its record says `leaving`, the others mark it gone at once.
     void leave(Millis now);
     void tick(Millis now);
     // When to call tick() next. Any call of another function may make it earlier.
     Millis due() const;
     // The output collected so far.
-    Output take();
+    Output take_output();
 
     // Hints from other connections: the node has just answered, or failed to.
     void reachable(Millis now, std::uint32_t ip);
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -110,12 +110,12 @@
 template <class Archive>
 void serialize(Archive& archive, Key& key) {
     archive.scalars(key.ip, key.incarnation, key.seq);
-    enum_value(archive, key.standing, 3);
+    enum_value(archive, key.state, 3);
 }
 
 template <class Archive>
 void serialize(Archive& archive, ServerRecord& server) {
-    archive.text(server.life);
+    archive.text(server.instance_id);
     archive.text(server.service);
     archive.text(server.edition);
     archive.scalars(server.port, server.capacity, server.call_seq);
@@ -193,7 +193,7 @@
 std::size_t max_encoded_bytes(const NodeRecord& record) {
     std::size_t bytes = 40 + std::min(record.zone.size(), kMaxTextBytes);
     if (record.server)
-        bytes += 24 + std::min(record.server->life.size(), kMaxTextBytes) +
+        bytes += 24 + std::min(record.server->instance_id.size(), kMaxTextBytes) +
                  std::min(record.server->service.size(), kMaxTextBytes) +
                  std::min(record.server->edition.size(), kMaxTextBytes);
     return bytes;
--- a/src/gossip_io/gossip_transport.cpp
+++ b/src/gossip_io/gossip_transport.cpp
@@ -88,10 +88,10 @@
 void GossipTransport::stop() {
     if (running_) {
         const double at = now();
-        if (pending_record_) gossip_.tell(at, *pending_record_);
+        if (pending_record_) gossip_.update_self(at, *pending_record_);
         pending_record_.reset();
         gossip_.leave(at);
-        send(gossip_.take());
+        send(gossip_.take_output());
     }
     running_ = false;
     error_code ignored;
@@ -116,7 +116,7 @@
     counts_.received_bytes += size;
     const auto message = gossip::decode({buffer_.data(), size});
     if (message && sender_.address().is_v4() && sender_.address().to_v4().to_uint() == message->from.ip)
-        gossip_.heard(at, *message);
+        gossip_.on_message(at, *message);
     else
         ++counts_.dropped;
 }
@@ -145,9 +145,9 @@
     if (known.record.ip == gossip_.self().ip)
         log_line("NW002 own life raised", "NW002 own life raised: others hold a later record of this node",
                  {{"life", known.record.incarnation}});
-    else if (known.standing == Standing::suspect)
+    else if (known.state == MemberState::suspect)
         log_line("NW003 node suspected", "NW003 node suspected: " + ip, {{"ip", ip}});
-    else if (known.standing == Standing::gone)
+    else if (known.state == MemberState::gone)
         log_line("NW004 node gone", "NW004 node gone: " + ip, {{"ip", ip}});
 }
 
@@ -167,11 +167,11 @@
 
 void GossipTransport::process(double at) {
     if (pending_record_) {
-        gossip_.tell(at, *pending_record_);
+        gossip_.update_self(at, *pending_record_);
         pending_record_.reset();
     }
     if (at >= gossip_.due()) gossip_.tick(at);
-    const Gossip::Output out = gossip_.take();
+    const Gossip::Output out = gossip_.take_output();
     send(out);
     set_timer();
     if (gossip_.joined() && !std::exchange(joined_logged_, true))
@@ -183,12 +183,12 @@
         const auto known = node(ip);
         if (!known) continue;
         log_change(*known);
-        if (on_change) on_change(known->record, known->standing);
+        if (on_change) on_change(known->record, known->state);
         if (!*alive || !running_) return;
     }
     for (const auto& edition : out.editions) {
-        if (on_configuration && edition.config_edition > self().config_edition)
-            on_configuration(edition.ip, edition.config_edition);
+        if (on_newer_configuration && edition.config_edition > self().config_edition)
+            on_newer_configuration(edition.ip, edition.config_edition);
         if (!*alive || !running_) return;
     }
 }
@@ -212,10 +212,10 @@
     });
 }
 
-void GossipTransport::tell(const std::function<void(NodeRecord&)>& change) {
+void GossipTransport::update_self(const std::function<void(NodeRecord&)>& change) {
     if (!pending_record_) {
         const registry::Entry* own = gossip_.registry().find(gossip_.self().ip);
-        pending_record_ = registry::Registry::handed_on(now(), *own);
+        pending_record_ = registry::Registry::current_record(now(), *own);
     }
     change(*pending_record_);
     schedule_processing();
@@ -225,37 +225,37 @@
     return pending_record_ ? *pending_record_ : gossip_.self();
 }
 
-void GossipTransport::each(const std::function<void(const NodeRecord&, Standing)>& visit) const {
+void GossipTransport::for_each_node(const std::function<void(const NodeRecord&, MemberState)>& visit) const {
     const double at = now();
     for (const registry::Entry& entry : gossip_.registry().entries())
         if (entry.record.ip != gossip_.self().ip)
-            visit(registry::Registry::handed_on(at, entry), entry.standing);
+            visit(registry::Registry::current_record(at, entry), entry.state);
 }
 
 std::optional<GossipTransport::Known> GossipTransport::node(std::uint32_t ip) const {
     const registry::Entry* entry = gossip_.registry().find(ip);
     if (!entry) return std::nullopt;
-    return Known{registry::Registry::handed_on(now(), *entry), entry->standing};
+    return Known{registry::Registry::current_record(now(), *entry), entry->state};
 }
 
 std::size_t GossipTransport::live_proxies() const {
     const auto& entries = gossip_.registry().entries();
     return static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(), [](const registry::Entry& entry) {
-            return entry.standing != Standing::gone && entry.record.role == registry::NodeRole::proxy &&
+            return entry.state != MemberState::gone && entry.record.role == registry::NodeRole::proxy &&
                    !entry.record.leaving;
         }));
 }
 
-std::vector<std::uint32_t> GossipTransport::hubs() const {
-    std::vector<std::uint32_t> hubs;
+std::vector<std::uint32_t> GossipTransport::control_nodes() const {
+    std::vector<std::uint32_t> control_nodes;
     for (const registry::Entry& entry : gossip_.registry().entries())
-        if (entry.record.role == registry::NodeRole::hub && entry.standing != Standing::gone &&
+        if (entry.record.role == registry::NodeRole::control_node && entry.state != MemberState::gone &&
             entry.record.ip != gossip_.self().ip)
-            hubs.push_back(entry.record.ip);
+            control_nodes.push_back(entry.record.ip);
     for (const std::uint32_t seed : seeds_)
-        if (!gossip_.registry().find(seed)) hubs.push_back(seed);
-    return hubs;
+        if (!gossip_.registry().find(seed)) control_nodes.push_back(seed);
+    return control_nodes;
 }
 
 bool GossipTransport::joined() const { return gossip_.joined(); }
--- a/src/gossip_io/gossip_transport.hpp
+++ b/src/gossip_io/gossip_transport.hpp
@@ -20,8 +20,8 @@
 
 namespace cobaltshift::gossip_io {
 
+using registry::MemberState;
 using registry::NodeRecord;
-using registry::Standing;
 
 struct Counts {
     std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
@@ -45,30 +45,30 @@
     // Changes the node's own record; ip, incarnation and seq are managed by the transport. Changes made in
     // one turn of the event loop are sent together. If only server.call_seq or the remaining warm-up differs
     // nothing is sent, so this may be called for every heartbeat.
-    void tell(const std::function<void(NodeRecord&)>& change);
+    void update_self(const std::function<void(NodeRecord&)>& change);
     const NodeRecord& self() const;
 
     // Visits all other known nodes in the order of their IPs, with their remaining warm-ups as of now.
-    void each(const std::function<void(const NodeRecord&, Standing)>& visit) const;
+    void for_each_node(const std::function<void(const NodeRecord&, MemberState)>& visit) const;
     struct Known {
         NodeRecord record;
-        Standing standing;
+        MemberState state;
     };
     std::optional<Known> node(std::uint32_t ip) const;
     // The number of proxies that are neither gone nor leaving, this node included if it is a proxy.
     std::size_t live_proxies() const;
     // IPs of the control nodes that are not gone, then of seeds that are in no record yet. Without this node.
-    std::vector<std::uint32_t> hubs() const;
+    std::vector<std::uint32_t> control_nodes() const;
     // A complete table comparison with another node found no node that this one does not know. Never false
     // again.
     bool joined() const;
 
     // The handlers are called from the event loop only, never from within a function of this class.
     // A record's content or the node's state changed; also for this node when its incarnation was raised.
-    std::function<void(const NodeRecord&, Standing)> on_change;
+    std::function<void(const NodeRecord&, MemberState)> on_change;
     // The node at `ip` holds a newer configuration than self().config_edition; repeated for each message of
     // it until this node holds it too.
-    std::function<void(std::uint32_t ip, std::uint64_t edition)> on_configuration;
+    std::function<void(std::uint32_t ip, std::uint64_t edition)> on_newer_configuration;
 
     // Hints from other connections: the node has just answered, or failed to.
     void reachable(std::uint32_t ip);
--- a/src/gossip_io/status.cpp
+++ b/src/gossip_io/status.cpp
@@ -6,21 +6,21 @@
 
 std::string status_text(const gossip::Gossip& gossip, const Counts& counts) {
     using nlohmann::json;
-    constexpr const char* kStandings[] = {"alive", "suspect", "gone"};
+    constexpr const char* kStates[] = {"alive", "suspect", "gone"};
     json nodes = json::array();
     for (const registry::Entry& entry : gossip.registry().entries()) {
         const NodeRecord& record = entry.record;
         json node{{"ip", address_text(record.ip)},
-                  {"role", record.role == registry::NodeRole::hub ? "hub" : "proxy"},
+                  {"role", record.role == registry::NodeRole::control_node ? "hub" : "proxy"},
                   {"zone", record.zone},
-                  {"standing", kStandings[static_cast<std::size_t>(entry.standing)]},
+                  {"standing", kStates[static_cast<std::size_t>(entry.state)]},
                   {"life", record.incarnation},
                   {"seq", record.seq},
                   {"configuration", record.config_edition},
                   {"ready", record.ready},
                   {"leaving", record.leaving}};
         if (record.server)
-            node["server"] = {{"life", record.server->life},
+            node["server"] = {{"life", record.server->instance_id},
                               {"service", record.server->service},
                               {"closing", record.server->closing}};
         nodes.push_back(std::move(node));
--- a/src/programs/control.cpp
+++ b/src/programs/control.cpp
@@ -30,17 +30,17 @@
     ControlProgram(asio::io_context& io, boot::Boot boot)
         : io_(io),
           boot_(std::move(boot)),
-          gossip_(io, boot_, registry::NodeRole::hub, 0),
+          gossip_(io, boot_, registry::NodeRole::control_node, 0),
           distributor_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
           control_node_(io, boot_, distributor_),
           front_(kMaxConfigurationBytes),
           listener_(io, clock_, front_, {kMaxConnections, kMaxConnections, 16 << 20}),
           timer_(io) {
         front_.add(control_node_.config());
-        distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) {
+        distributor_.on_new_configuration = [this](std::shared_ptr<const config::Configuration> t) {
             publish_edition(t->edition);
         };
-        gossip_.on_configuration = [this](std::uint32_t, std::uint64_t) {
+        gossip_.on_newer_configuration = [this](std::uint32_t, std::uint64_t) {
         };  // a control node gets configurations by replication
         control_node_.on_fatal_error = [this](const std::string& why) {
             log_line("SB029 over", why);
@@ -57,7 +57,7 @@
     void stop(std::function<void()> done) {
         if (stopping_) return;
         stopping_ = true;
-        gossip_.tell([](registry::NodeRecord& own) { own.leaving = true; });
+        gossip_.update_self([](registry::NodeRecord& own) { own.leaving = true; });
         control_node_.stop();
         gossip_.stop();
         listener_.stop_accepting();
@@ -68,12 +68,13 @@
 private:
     // Announces by gossip that this node has the configuration `edition` and is ready.
     void publish_edition(std::uint64_t edition) {
-        gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = edition, own.ready = true; });
+        gossip_.update_self(
+            [&](registry::NodeRecord& own) { own.config_edition = edition, own.ready = true; });
     }
     // Passes the known control nodes on and republishes the edition if it changed.
     void poll_hubs() {
         if (stopping_) return;
-        control_node_.set_control_nodes(gossip_.hubs());
+        control_node_.set_control_nodes(gossip_.control_nodes());
         if (control_node_.edition() != gossip_.self().config_edition)
             publish_edition(control_node_.edition());
         timer_.expires_after(kHubsPollInterval);
--- a/src/proxy/outbound.hpp
+++ b/src/proxy/outbound.hpp
@@ -24,7 +24,7 @@
     struct Callbacks {
         std::function<std::size_t()> live_proxies;
         // Visits all known proxies, this one included.
-        std::function<void(const std::function<void(const registry::NodeRecord&, registry::Standing)>&)>
+        std::function<void(const std::function<void(const registry::NodeRecord&, registry::MemberState)>&)>
             visit_proxies;
         // The proxy at `ip` has reported the configuration edition that it has.
         std::function<void(std::uint32_t ip, std::uint64_t edition)> on_peer_edition;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -66,20 +66,21 @@
                {[this] { return distributor_.held() ? distributor_.held()->edition : 0; },
                 [this](std::uint64_t edition) {
                     // The sender is not known here, but the control nodes have the edition or know who has.
-                    for (const std::uint32_t hub : gossip_.hubs()) distributor_.hint(hub, edition);
+                    for (const std::uint32_t hub : gossip_.control_nodes()) distributor_.hint(hub, edition);
                 }},
                link_.get()),
-      outbound_(io, clock_, boot_,
-                {[this] { return gossip_.live_proxies(); },
-                 [this](const auto& visit) {
-                     visit(gossip_.self(), registry::Standing::alive);
-                     gossip_.each([&](const registry::NodeRecord& node, registry::Standing standing) {
-                         if (node.role == registry::NodeRole::proxy) visit(node, standing);
-                     });
-                 },
-                 [this](std::uint32_t ip, std::uint64_t edition) { distributor_.hint(ip, edition); },
-                 [this](std::uint32_t ip) { gossip_.unreachable(ip); }},
-                seed),
+      outbound_(
+          io, clock_, boot_,
+          {[this] { return gossip_.live_proxies(); },
+           [this](const auto& visit) {
+               visit(gossip_.self(), registry::MemberState::alive);
+               gossip_.for_each_node([&](const registry::NodeRecord& node, registry::MemberState standing) {
+                   if (node.role == registry::NodeRole::proxy) visit(node, standing);
+               });
+           },
+           [this](std::uint32_t ip, std::uint64_t edition) { distributor_.hint(ip, edition); },
+           [this](std::uint32_t ip) { gossip_.unreachable(ip); }},
+          seed),
       heartbeat_resource_({[this](const Heartbeat& heartbeat) { on_heartbeat(heartbeat); },
                            [this](const std::string& instance_id) { on_deregistered(instance_id); }}),
       readiness_resource_([this] { return ready(); }),
@@ -94,16 +95,16 @@
       confirmation_timer_(io) {
     control_front_.add(heartbeat_resource_);
     ready_front_.add(readiness_resource_);
-    gossip_.on_change = [this](const registry::NodeRecord&, registry::Standing) {
+    gossip_.on_change = [this](const registry::NodeRecord&, registry::MemberState) {
         outbound_.registry_changed();
     };
-    gossip_.on_configuration = [this](std::uint32_t ip, std::uint64_t edition) {
+    gossip_.on_newer_configuration = [this](std::uint32_t ip, std::uint64_t edition) {
         distributor_.hint(ip, edition);
     };
-    distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) {
+    distributor_.on_new_configuration = [this](std::shared_ptr<const config::Configuration> t) {
         on_new_configuration(std::move(t));
     };
-    distributor_.control_nodes = [this] { return gossip_.hubs(); };
+    distributor_.control_nodes = [this] { return gossip_.control_nodes(); };
     if (boot_.outbound) outbound_listener_.listen(*boot_.outbound);
     if (boot_.inbound) inbound_listener_.listen(*boot_.inbound);
     if (boot_.control) control_listener_.listen(*boot_.control);
@@ -120,9 +121,9 @@
     if (!inbound_.on_heartbeat(heartbeat.instance_id, heartbeat.capacity, heartbeat.closing,
                                heartbeat.call_seq))
         return;
-    gossip_.tell([&](registry::NodeRecord& own) {
+    gossip_.update_self([&](registry::NodeRecord& own) {
         registry::ServerRecord server;
-        server.life = heartbeat.instance_id;
+        server.instance_id = heartbeat.instance_id;
         server.service = heartbeat.service;
         server.edition = heartbeat.edition;
         server.capacity = heartbeat.capacity;
@@ -137,14 +138,14 @@
 
 void Proxy::on_deregistered(const std::string& instance_id) {
     inbound_.on_deregistered(instance_id);
-    gossip_.tell([&](registry::NodeRecord& own) {
-        if (own.server && own.server->life == instance_id) own.server->closing = true;
+    gossip_.update_self([&](registry::NodeRecord& own) {
+        if (own.server && own.server->instance_id == instance_id) own.server->closing = true;
     });
     outbound_.registry_changed();
 }
 
 void Proxy::on_new_configuration(std::shared_ptr<const config::Configuration> configuration) {
-    gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = configuration->edition; });
+    gossip_.update_self([&](registry::NodeRecord& own) { own.config_edition = configuration->edition; });
     check_health(*configuration);
     update_configuration();
 }
@@ -169,7 +170,7 @@
     else if (state == State::confirmed && !std::exchange(was_confirmed_, true))
         log_line("GD009 configuration confirmed",
                  "a majority confirmed the configuration in force or an older one");
-    if (const auto node = confirmation_.next_to_ask(now, gossip_.hubs()))
+    if (const auto node = confirmation_.next_to_ask(now, gossip_.control_nodes()))
         distributor_.ask_current(*node, [this, node = *node](const config::CurrentAnswer& answer) {
             confirmation_.on_answer(answer);
             if (answer.kind == config::CurrentAnswer::Kind::current) distributor_.hint(node, answer.edition);
@@ -192,15 +193,15 @@
     health_checked_ = true;
     // Until its first heartbeat the server is assumed to have the capacity of others of its service.
     std::uint32_t capacity = kDefaultCapacity;
-    gossip_.each([&](const registry::NodeRecord& node, registry::Standing) {
+    gossip_.for_each_node([&](const registry::NodeRecord& node, registry::MemberState) {
         if (node.server && node.server->service == boot_.service)
             capacity = std::max(capacity, node.server->capacity);
     });
     inbound_.check_health(service->second.health_path, capacity,
                           [this, capacity](const std::string& instance_id) {
-                              gossip_.tell([&](registry::NodeRecord& own) {
+                              gossip_.update_self([&](registry::NodeRecord& own) {
                                   registry::ServerRecord server;
-                                  server.life = instance_id;
+                                  server.instance_id = instance_id;
                                   server.service = boot_.service;
                                   server.capacity = capacity;
                                   own.server = server;
@@ -231,7 +232,7 @@
     leaving_ = true;
     shutdown_.emplace(clock_.now(), boot_.bound("grace_s", 6) * 1000);
     log_line("GD004 leaving", "received SIGTERM: shutting down");
-    gossip_.tell([](registry::NodeRecord& own) { own.leaving = true, own.ready = false; });
+    gossip_.update_self([](registry::NodeRecord& own) { own.leaving = true, own.ready = false; });
     outbound_.leave(shutdown_->answers_at());
     outbound_listener_.drain();
     advance_shutdown();
--- a/src/registry/records.hpp
+++ b/src/registry/records.hpp
@@ -11,11 +11,11 @@
 // Milliseconds on the local steady clock, from an arbitrary origin; never compared with another machine's.
 using Millis = double;
 
-enum class NodeRole : std::uint8_t { proxy, hub };  // sidecars; members of the control plane
+enum class NodeRole : std::uint8_t { proxy, control_node };  // sidecars; members of the control plane
 
 // The application server beside a proxy, as reported by its most recent heartbeat.
 struct ServerRecord {
-    std::string life;  // of the server process; differs after a restart
+    std::string instance_id;  // of the server process; differs after a restart
     std::string service, edition;
     std::uint16_t port = 0;  // at the node's IP
     std::uint32_t capacity = 0;
@@ -42,6 +42,6 @@
 
 // A node's state as the failure detector sees it: alive -> suspect -> gone. Nodes that are gone are kept for
 // a while and probed now and then.
-enum class Standing : std::uint8_t { alive, suspect, gone };
+enum class MemberState : std::uint8_t { alive, suspect, gone };
 
 }  // namespace cobaltshift::registry
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -39,7 +39,7 @@
 }
 
 void Registry::toggle_in_digest(const Entry& entry) {
-    if (entry.standing == Standing::gone) return;
+    if (entry.state == MemberState::gone) return;
     const std::uint64_t hash = hash_of(entry.record);
     digest_ ^= hash;
     ranges_[range_of(entry.record.ip)] ^= static_cast<std::uint32_t>(hash);
@@ -49,7 +49,7 @@
     if (entries_.size() < kMaxNodes) return true;
     auto oldest = entries_.end();
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry)
-        if (entry->standing == Standing::gone &&
+        if (entry->state == MemberState::gone &&
             (oldest == entries_.end() || entry->gone_at < oldest->gone_at))
             oldest = entry;
     if (oldest == entries_.end()) return false;
@@ -61,27 +61,27 @@
     auto entry = at(record.ip);
     if (entry == entries_.end() || entry->record.ip != record.ip) {
         if (!evict_if_full()) return {};
-        entry = entries_.insert(at(record.ip), Entry{record, Standing::alive, now, 0});
+        entry = entries_.insert(at(record.ip), Entry{record, MemberState::alive, now, 0});
         toggle_in_digest(*entry);
         return {MergeOutcome::newer, true};
     }
     if (same_version(entry->record, record)) return {MergeOutcome::same, false};
     if (!newer(record, entry->record)) return {MergeOutcome::older, false};
-    const bool changed = entry->standing != Standing::alive ||
+    const bool changed = entry->state != MemberState::alive ||
                          record.incarnation != entry->record.incarnation ||
                          !same_content(record, entry->record);
     toggle_in_digest(*entry);
-    *entry = Entry{record, Standing::alive, now, 0};
+    *entry = Entry{record, MemberState::alive, now, 0};
     toggle_in_digest(*entry);
     return {MergeOutcome::newer, changed};
 }
 
-bool Registry::set_state(Millis now, std::uint32_t ip, Standing standing) {
+bool Registry::set_state(Millis now, std::uint32_t ip, MemberState state) {
     const auto entry = at(ip);
-    if (entry == entries_.end() || entry->record.ip != ip || entry->standing == standing) return false;
+    if (entry == entries_.end() || entry->record.ip != ip || entry->state == state) return false;
     toggle_in_digest(*entry);
-    entry->standing = standing;
-    if (standing == Standing::gone) entry->gone_at = now;
+    entry->state = state;
+    if (state == MemberState::gone) entry->gone_at = now;
     toggle_in_digest(*entry);
     return true;
 }
@@ -89,7 +89,7 @@
 bool Registry::mark_gone(Millis now, const Key& key) {
     const auto entry = at(key.ip);
     if (entry == entries_.end() || entry->record.ip != key.ip) return false;
-    const bool changed = set_state(now, key.ip, Standing::gone);
+    const bool changed = set_state(now, key.ip, MemberState::gone);
     if (newer(key, entry->record)) {  // the entry is gone and so in no digest
         entry->record.incarnation = key.incarnation;
         entry->record.seq = key.seq;
@@ -107,14 +107,14 @@
 std::vector<std::uint32_t> Registry::purge_gone(Millis now) {
     std::vector<std::uint32_t> purged;
     std::erase_if(entries_, [&](const Entry& entry) {
-        const bool old = entry.standing == Standing::gone && now - entry.gone_at >= kGoneRetentionMs;
+        const bool old = entry.state == MemberState::gone && now - entry.gone_at >= kGoneRetentionMs;
         if (old) purged.push_back(entry.record.ip);
         return old;
     });
     return purged;
 }
 
-NodeRecord Registry::handed_on(Millis now, const Entry& entry) {
+NodeRecord Registry::current_record(Millis now, const Entry& entry) {
     NodeRecord record = entry.record;
     if (record.server)
         record.server->warmup_left_s =
--- a/src/registry/registry.hpp
+++ b/src/registry/registry.hpp
@@ -25,7 +25,7 @@
 struct Key {
     std::uint32_t ip = 0;
     std::uint64_t incarnation = 0, seq = 0;
-    Standing standing = Standing::alive;
+    MemberState state = MemberState::alive;
     bool operator==(const Key&) const = default;
 };
 // Whether a has a higher (incarnation, seq) than b.
@@ -40,10 +40,10 @@
 
 struct Entry {
     NodeRecord record;
-    Standing standing = Standing::alive;
+    MemberState state = MemberState::alive;
     Millis received_at = 0;  // the record; its warm-up counts down from here
     Millis gone_at = 0;      // while gone: since when
-    Key key() const { return {record.ip, record.incarnation, record.seq, standing}; }
+    Key key() const { return {record.ip, record.incarnation, record.seq, state}; }
 };
 
 class Registry {
@@ -57,7 +57,7 @@
     // Stores the record if it is newer than the one held; its node is then alive. Refused: the table is full.
     MergeResult merge(Millis now, const NodeRecord& record);
     // False if the node is unknown or already in this state.
-    bool set_state(Millis now, std::uint32_t ip, Standing standing);
+    bool set_state(Millis now, std::uint32_t ip, MemberState state);
     // Marks a node gone, as of a (incarnation, seq) that may be newer than the record held: then only a
     // record newer than that brings it back. Returns as set_state().
     bool mark_gone(Millis now, const Key& key);
@@ -70,7 +70,7 @@
     // Sorted by IP.
     const std::vector<Entry>& entries() const { return entries_; }
     // The entry's record with its remaining warm-up as of now, as it is sent to others.
-    static NodeRecord handed_on(Millis now, const Entry& entry);
+    static NodeRecord current_record(Millis now, const Entry& entry);
 
     std::uint64_t digest() const { return digest_; }
     const std::array<std::uint32_t, kRanges>& ranges() const { return ranges_; }
--- a/src/routing/server_directory.hpp
+++ b/src/routing/server_directory.hpp
@@ -26,7 +26,7 @@
 
 class ServerDirectory {
 public:
-    using Visitor = std::function<void(const registry::NodeRecord&, registry::Standing)>;
+    using Visitor = std::function<void(const registry::NodeRecord&, registry::MemberState)>;
     using EachNode = std::function<void(const Visitor&)>;
     struct Lists {
         std::map<std::string, std::vector<ListedServer>> by_service;
--- a/src/sim_mesh/node.cpp
+++ b/src/sim_mesh/node.cpp
@@ -49,14 +49,14 @@
 
 void Node::act() {
     if (now() >= gossip_.due()) gossip_.tick(now());
-    const gossip::Gossip::Output out = gossip_.take();
+    const gossip::Gossip::Output out = gossip_.take_output();
     for (const auto& datagram : out.datagrams)
         world_.net.datagram(ip_, datagram.to,
                             [&world = world_, to = datagram.to, bytes = gossip::encode(datagram.message)] {
                                 Node* node = world.node(to);
                                 const auto message = gossip::decode(bytes);
                                 if (!node || !message) return;
-                                node->gossip_.heard(node->now(), *message);
+                                node->gossip_.on_message(node->now(), *message);
                                 node->act();
                             });
     if (gossip_.due() < armed_ && gossip_.due() < 1e17) {
@@ -73,9 +73,9 @@
 }
 
 void Node::tell(const std::function<void(registry::NodeRecord&)>& change) {
-    registry::NodeRecord record = registry::Registry::handed_on(now(), *gossip_.registry().find(ip_));
+    registry::NodeRecord record = registry::Registry::current_record(now(), *gossip_.registry().find(ip_));
     change(record);
-    gossip_.tell(now(), record);
+    gossip_.update_self(now(), record);
     act_soon();
 }
 
@@ -87,8 +87,8 @@
 std::vector<Ip> Node::hubs() const {
     std::vector<Ip> all;
     for (const registry::Entry& entry : gossip_.registry().entries())
-        if (entry.record.role == registry::NodeRole::hub && entry.standing != registry::Standing::gone &&
-            entry.record.ip != ip_)
+        if (entry.record.role == registry::NodeRole::control_node &&
+            entry.state != registry::MemberState::gone && entry.record.ip != ip_)
             all.push_back(entry.record.ip);
     for (const Ip seed : world_.seeds())
         if (seed != ip_ && !gossip_.registry().find(seed)) all.push_back(seed);
@@ -99,7 +99,7 @@
     const auto& entries = gossip_.registry().entries();
     return static_cast<std::size_t>(
         std::count_if(entries.begin(), entries.end(), [](const registry::Entry& e) {
-            return e.standing != registry::Standing::gone && e.record.role == registry::NodeRole::proxy &&
+            return e.state != registry::MemberState::gone && e.record.role == registry::NodeRole::proxy &&
                    !e.record.leaving;
         }));
 }
--- a/src/sim_mesh/proxy.cpp
+++ b/src/sim_mesh/proxy.cpp
@@ -33,7 +33,7 @@
     if (!inbound_.beat(server.life(), server.settings().capacity, closing, seq)) return true;
     tell([&](registry::NodeRecord& own) {
         registry::ServerRecord record;
-        record.life = server.life();
+        record.instance_id = server.life();
         record.service = server.service();
         record.capacity = server.settings().capacity;
         record.closing = closing && world_.safeguards.closing_at_admission;
@@ -49,7 +49,7 @@
 void Proxy::server_gone(const std::string& life) {
     inbound_.gone(life);
     tell([&](registry::NodeRecord& own) {
-        if (own.server && own.server->life == life) own.server->closing = true;
+        if (own.server && own.server->instance_id == life) own.server->closing = true;
     });
     registry_changed();
 }
@@ -64,7 +64,7 @@
     const auto lists = directory_.list(now(), [this](const routing::ServerDirectory::Visitor& visit) {
         for (const registry::Entry& entry : gossip().registry().entries())
             if (entry.record.role == registry::NodeRole::proxy)
-                visit(registry::Registry::handed_on(now(), entry), entry.standing);
+                visit(registry::Registry::current_record(now(), entry), entry.state);
     });
     for (auto& [name, pool] : pools_) {
         const auto at = lists.by_service.find(name);
@@ -134,7 +134,7 @@
         inbound_.seen_well(life, kCapacityUnheard);
         tell([&](registry::NodeRecord& own) {
             registry::ServerRecord record;
-            record.life = life;
+            record.instance_id = life;
             record.service = service_;
             record.capacity = kCapacityUnheard;
             own.server = record;
--- a/tests/mesh/config_state_machine_test.cpp
+++ b/tests/mesh/config_state_machine_test.cpp
@@ -72,7 +72,7 @@
     for (Edition n = 1; n < kMaxRememberedChanges; ++n)
         REQUIRE(state_machine.apply(put(n, n + 1)).kind == Kind::taken);
     const ChangeOutcome again = state_machine.apply(put(0, 1));
-    CHECK(again.kind == Kind::already);
+    CHECK(again.kind == Kind::duplicate);
     CHECK(again.edition == 1);
     CHECK(state_machine.edition() == kMaxRememberedChanges);
     CHECK(state_machine.apply(put(0, 1, "other")).kind == Kind::stale);
@@ -99,7 +99,7 @@
     REQUIRE(other.load(bytes));
     CHECK(other.save() == bytes);
     CHECK(to_json(*other.current()) == to_json(*state_machine.current()));
-    CHECK(other.apply(put(3, 4)).kind == Kind::already);
+    CHECK(other.apply(put(3, 4)).kind == Kind::duplicate);
     CHECK(other.apply(put(20, 21)).kind == Kind::taken);
     ConfigStateMachine empty;
     REQUIRE(other.load(empty.save()));
--- a/tests/mesh/config_test.cpp
+++ b/tests/mesh/config_test.cpp
@@ -36,7 +36,7 @@
 std::string text(const Json::Value& value) { return Json::FastWriter().write(value); }
 
 std::shared_ptr<const Configuration> example() {
-    const Parsed parsed = read_whole(kExample, 0);
+    const Parsed parsed = parse_configuration(kExample, 0);
     REQUIRE(parsed.configuration);
     return parsed.configuration;
 }
@@ -46,7 +46,7 @@
 Parsed with(Change change) {
     Json::Value value = json(kExample);
     change(value);
-    return read_whole(text(value), 6);
+    return parse_configuration(text(value), 6);
 }
 
 bool complains(const Parsed& parsed, const std::string& what) {
@@ -133,7 +133,7 @@
     for (const char* other :
          {"5", "-0.25", "\"a \\\" b\"", "null", "true", "[1,{\"a\":2}]", "\"\\u0000 \xc3\xa9\""}) {
         const std::string sent = kExample.substr(0, kExample.size() - 1) + ", \"other\" : " + other + " }";
-        const Parsed parsed = read_whole(sent, 0);
+        const Parsed parsed = parse_configuration(sent, 0);
         REQUIRE(parsed.configuration);
         CHECK(json(to_json(*parsed.configuration)) == json(sent));
     }
@@ -194,32 +194,32 @@
 
 TEST_CASE("configuration: malformed JSON is refused") {
     for (std::size_t n = 0; n < kExample.size(); ++n)
-        CHECK_FALSE(read_whole(kExample.substr(0, n), 0).configuration);
+        CHECK_FALSE(parse_configuration(kExample.substr(0, n), 0).configuration);
     for (const std::string& suffix :
          {std::string(1, '\0'), std::string(" x"), std::string("}"), std::string("{}"), std::string(","),
           std::string(" 1"), std::string("//")})
-        CHECK_FALSE(read_whole(kExample + suffix, 0).configuration);
-    CHECK(read_whole(kExample + " \r\n", 0).configuration);
-    CHECK_FALSE(read_whole("\xef\xbb\xbf" + kExample, 0).configuration);
+        CHECK_FALSE(parse_configuration(kExample + suffix, 0).configuration);
+    CHECK(parse_configuration(kExample + " \r\n", 0).configuration);
+    CHECK_FALSE(parse_configuration("\xef\xbb\xbf" + kExample, 0).configuration);
     const std::string body = kExample.substr(0, kExample.size() - 1);
-    CHECK_FALSE(read_whole(body + R"(,"edition":"r8"})", 0).configuration);     // a duplicate key
-    CHECK_FALSE(read_whole(body + R"(,"a":{"b":1,"b":1}})", 0).configuration);  // a nested one
-    CHECK_FALSE(read_whole(body + ",\"a\":NaN}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":Infinity}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":1,}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",/* */\"a\":1}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",'a':1}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\n\"}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + R"(,"edition":"r8"})", 0).configuration);     // a duplicate key
+    CHECK_FALSE(parse_configuration(body + R"(,"a":{"b":1,"b":1}})", 0).configuration);  // a nested one
+    CHECK_FALSE(parse_configuration(body + ",\"a\":NaN}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":Infinity}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":1,}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",/* */\"a\":1}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",'a':1}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":\"\n\"}", 0).configuration);
     for (const char* number :
          {"01", "-", "+1", "1.", ".5", "1e", "0x1", "1e+", "--1", "1.2.3", "truely", "nul"})
-        CHECK_FALSE(read_whole(body + ",\"a\":" + number + "}", 0).configuration);
+        CHECK_FALSE(parse_configuration(body + ",\"a\":" + number + "}", 0).configuration);
     for (const char* number : {"0", "-0", "1.5e-3", "10E5", "true", "null"})
-        CHECK(read_whole(body + ",\"a\":" + number + "}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\xff\"}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":\"\xc3\"}", 0).configuration);
-    CHECK_FALSE(read_whole(body + ",\"a\":" + std::string(100000, '[') + "}", 0).configuration);
-    CHECK_FALSE(read_whole("[]", 0).configuration);
-    CHECK_FALSE(read_whole("null", 0).configuration);
+        CHECK(parse_configuration(body + ",\"a\":" + number + "}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":\"\xff\"}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":\"\xc3\"}", 0).configuration);
+    CHECK_FALSE(parse_configuration(body + ",\"a\":" + std::string(100000, '[') + "}", 0).configuration);
+    CHECK_FALSE(parse_configuration("[]", 0).configuration);
+    CHECK_FALSE(parse_configuration("null", 0).configuration);
 }
 
 TEST_CASE("configuration: a patch changes the named items and nothing else") {
--- a/tests/mesh/control_io_test.cpp
+++ b/tests/mesh/control_io_test.cpp
@@ -54,7 +54,7 @@
            "\"max_body_bytes\":1,\"header_read_s\":1,\"idle_timeout_s\":1}}";
 }
 std::shared_ptr<const config::Configuration> table(config::Edition edition, int routes = 1) {
-    return config::read_whole(text(edition, routes), 0).configuration;
+    return config::parse_configuration(text(edition, routes), 0).configuration;
 }
 
 bool run_until(asio::io_context& io, const std::function<bool()>& what, std::chrono::milliseconds most) {
@@ -321,7 +321,7 @@
     config::ConfigDistributor source(io, "127.0.8.1", port), proxy(io, "127.0.8.2", port),
         other(io, "127.0.8.3", port);
     std::vector<config::Edition> received;
-    proxy.on_new = [&](auto t) {
+    proxy.on_new_configuration = [&](auto t) {
         received.push_back(t->edition);
         other.hint(ip_of("127.0.8.2"), t->edition);
     };
--- a/tests/mesh/failure_detector_test.cpp
+++ b/tests/mesh/failure_detector_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace cobaltshift;
 using failure_detector::FailureDetector;
-using registry::Standing;
+using registry::MemberState;
 
 namespace {
 
@@ -24,7 +24,7 @@
     bool isolated = false;              // no answer arrives
 
     Harness() {
-        for (std::uint32_t ip = 1; ip <= kMembers; ++ip) detector.set(now, ip, Standing::alive);
+        for (std::uint32_t ip = 1; ip <= kMembers; ++ip) detector.set(now, ip, MemberState::alive);
     }
     void apply(FailureDetector::Output out) {
         indirect_probes.insert(indirect_probes.end(), out.indirect_probes.begin(), out.indirect_probes.end());
@@ -110,7 +110,7 @@
 
 TEST_CASE("failure detector: a relayed suspicion lasts longer than an own one") {
     Harness harness;
-    harness.detector.set(harness.now, 7, Standing::suspect);
+    harness.detector.set(harness.now, 7, MemberState::suspect);
     harness.silent = {7};
     harness.run(harness.now + 1800);
     CHECK(harness.gone.empty());
@@ -176,7 +176,7 @@
     harness.probes.clear();
     harness.run(harness.now + 3000);
     CHECK(harness.probes.empty());
-    harness.detector.set(harness.now, 5, Standing::alive);
+    harness.detector.set(harness.now, 5, MemberState::alive);
     harness.run(harness.now + 1100);
     CHECK(harness.probes[5] >= 2);
 }
--- a/tests/mesh/gossip_test.cpp
+++ b/tests/mesh/gossip_test.cpp
@@ -6,7 +6,7 @@
 #include "gossip_world.hpp"
 
 using namespace cobaltshift;
-using registry::Standing;
+using registry::MemberState;
 using test::GossipWorld;
 
 namespace {
@@ -103,8 +103,8 @@
     std::size_t gone = 0, suspected = 0;
     world.on_change = [&](std::size_t at, std::uint32_t ip) {
         const auto* entry = world.nodes[at].gossip->registry().find(ip);
-        gone += entry && entry->standing == Standing::gone;
-        suspected += entry && entry->standing == Standing::suspect;
+        gone += entry && entry->state == MemberState::gone;
+        suspected += entry && entry->state == MemberState::suspect;
     };
     world.run(world.now + 10 * kMinute);
     MESSAGE("60 nodes, 10 minutes, 5 % loss: suspicions seen " << suspected << ", removals seen " << gone);
@@ -123,7 +123,7 @@
             const double killed = world.now;
             world.kill(victim);
             const auto gone_at =
-                world.run_until(killed + 20'000, [&] { return world.all_see(victim, Standing::gone); });
+                world.run_until(killed + 20'000, [&] { return world.all_see(victim, MemberState::gone); });
             REQUIRE(gone_at);
             worst = std::max(worst, *gone_at - killed);
             total += *gone_at - killed;
@@ -144,7 +144,7 @@
     world.kill(9);
     const double killed = world.now;
     world.nodes[12].gossip->unreachable(world.now, GossipWorld::ip_of(9));
-    const auto gone = world.run_until(killed + 5000, [&] { return world.all_see(9, Standing::gone); });
+    const auto gone = world.run_until(killed + 5000, [&] { return world.all_see(9, MemberState::gone); });
     REQUIRE(gone);
     CHECK(*gone - killed < 2200);
 }
@@ -155,16 +155,16 @@
         const auto first = [](std::size_t i) { return i % 2 == 0; };
         world.partition(first, true);
         world.run(world.now + 6000);
-        CHECK(world.standing(0, 1) != Standing::alive);
+        CHECK(world.state(0, 1) != MemberState::alive);
         // Within each half the nodes still see each other alive.
-        CHECK(world.standing(0, 2) == Standing::alive);
-        CHECK(world.standing(1, 3) == Standing::alive);
+        CHECK(world.state(0, 2) == MemberState::alive);
+        CHECK(world.state(1, 3) == MemberState::alive);
         world.partition(first, false);
         const double healed = world.now;
         std::size_t own_half = 0;
         world.on_change = [&](std::size_t at, std::uint32_t ip) {
             const auto* entry = world.nodes[at].gossip->registry().find(ip);
-            own_half += entry && entry->standing == Standing::gone && first(at) == first(world.index_of(ip));
+            own_half += entry && entry->state == MemberState::gone && first(at) == first(world.index_of(ip));
         };
         const auto converged_at = world.run_until(healed + 20'000, [&] { return world.converged(); });
         REQUIRE(converged_at);
@@ -200,12 +200,12 @@
         std::size_t removed_by_it = 0, removed_others = 0;
         world.on_change = [&](std::size_t at, std::uint32_t ip) {
             const auto* entry = world.nodes[at].gossip->registry().find(ip);
-            if (!entry || entry->standing != Standing::gone) return;
+            if (!entry || entry->state != MemberState::gone) return;
             removed_by_it += at == 10;
             removed_others += at != 10 && ip != GossipWorld::ip_of(10);
         };
         CAPTURE(direction);
-        CHECK(world.run_until(began + 5000, [&] { return world.all_see(10, Standing::gone); }));
+        CHECK(world.run_until(began + 5000, [&] { return world.all_see(10, MemberState::gone); }));
         world.run(began + 10'000);
         CHECK(removed_by_it == 0);
         CHECK(removed_others == 0);
@@ -219,7 +219,7 @@
     GossipWorld world = converged_world(30, 8);
     world.freeze(12);
     world.run(world.now + 5000);
-    CHECK(world.all_see(12, Standing::gone));
+    CHECK(world.all_see(12, MemberState::gone));
     world.update(5, [](auto& record) { record.server->edition = "v2"; });
     world.update(6, [](auto& record) { record.leaving = true; });
     world.kill(7);
@@ -230,7 +230,7 @@
     std::size_t removed = 0;
     world.on_change = [&](std::size_t at, std::uint32_t ip) {
         const auto* entry = world.nodes[at].gossip->registry().find(ip);
-        removed += entry && entry->standing == Standing::gone;
+        removed += entry && entry->state == MemberState::gone;
     };
     world.thaw(12);
     const auto converged_at = world.run_until(world.now + 5000, [&] { return world.converged(); });
@@ -327,7 +327,7 @@
     world.run(world.now + 1000);
     const auto* entry = world.nodes[7].gossip->registry().find(GossipWorld::ip_of(5));
     REQUIRE(entry);
-    const double warmup_left_s = registry::Registry::handed_on(world.now, *entry).server->warmup_left_s;
+    const double warmup_left_s = registry::Registry::current_record(world.now, *entry).server->warmup_left_s;
     CHECK(warmup_left_s > 1.3);
     CHECK(warmup_left_s < 1.7);
 }
@@ -358,7 +358,7 @@
     world.run(world.now + 1000);
     world.leave(9);
     const double left = world.now;
-    const auto gone = world.run_until(left + 5000, [&] { return world.all_see(9, Standing::gone); });
+    const auto gone = world.run_until(left + 5000, [&] { return world.all_see(9, MemberState::gone); });
     REQUIRE(gone);
     CHECK(*gone - left < 300);
 }
@@ -368,16 +368,16 @@
     std::size_t removed = 0;
     world.on_change = [&](std::size_t at, std::uint32_t ip) {
         const auto* entry = world.nodes[at].gossip->registry().find(ip);
-        removed += entry && entry->standing == Standing::gone;
+        removed += entry && entry->state == MemberState::gone;
     };
     const auto& ninth = world.nodes[9].gossip->self();
     const auto& third = world.nodes[3].gossip->self();
     gossip::Message message;
     message.kind = gossip::Kind::push;
     message.from = {third.ip, third.incarnation, third.seq, 0, 0};
-    message.keys = {{ninth.ip, ninth.incarnation, ninth.seq, Standing::gone}};
+    message.keys = {{ninth.ip, ninth.incarnation, ninth.seq, MemberState::gone}};
     world.receive(5, message);
-    CHECK(world.standing(5, 9) == Standing::suspect);
+    CHECK(world.state(5, 9) == MemberState::suspect);
     CHECK(world.run_until(world.now + 500, [&] { return world.converged(); }));
     world.run(world.now + 5000);
     CHECK(removed == 0);
@@ -388,13 +388,13 @@
     GossipWorld world = converged_world(15, 19);
     world.freeze(9);
     world.run(world.now + 5000);
-    REQUIRE(world.standing(5, 9) == Standing::gone);
+    REQUIRE(world.state(5, 9) == MemberState::gone);
     const auto sent = world.nodes[5].sent;
     for (int i = 0; i < 3; ++i) world.reachable(5, 9);
     CHECK(world.nodes[5].sent == sent + 1);
-    CHECK(world.standing(5, 9) == Standing::gone);
+    CHECK(world.state(5, 9) == MemberState::gone);
     world.thaw(9);
-    CHECK(world.run_until(world.now + 500, [&] { return world.standing(5, 9) == Standing::alive; }));
+    CHECK(world.run_until(world.now + 500, [&] { return world.state(5, 9) == MemberState::alive; }));
 }
 
 TEST_CASE("gossip: two nodes that cannot reach each other stay alive through indirect probes") {
@@ -404,7 +404,7 @@
     std::size_t suspected = 0;
     world.on_change = [&](std::size_t at, std::uint32_t ip) {
         const auto* entry = world.nodes[at].gossip->registry().find(ip);
-        suspected += entry && entry->standing != Standing::alive;
+        suspected += entry && entry->state != MemberState::alive;
     };
     world.run(world.now + kMinute);
     CHECK(suspected == 0);
@@ -417,13 +417,13 @@
     gossip::Message message;
     message.kind = gossip::Kind::probe;
     message.from = {third.ip, third.incarnation, third.seq, 0, world.nodes[3].gossip->registry().digest()};
-    message.target = {ninth.ip, ninth.incarnation, ninth.seq, Standing::suspect};
+    message.target = {ninth.ip, ninth.incarnation, ninth.seq, MemberState::suspect};
     world.receive(9, message);
     CHECK(world.nodes[9].gossip->self().seq == ninth.seq + 1);
     CHECK(world.nodes[9].gossip->self().incarnation == ninth.incarnation);
     CHECK(world.run_until(world.now + 300, [&] { return world.all_current(9); }));
     // An incarnation that the node does not know.
-    message.target = {ninth.ip, ninth.incarnation + 5, 1, Standing::alive};
+    message.target = {ninth.ip, ninth.incarnation + 5, 1, MemberState::alive};
     world.receive(9, message);
     CHECK(world.nodes[9].gossip->self().incarnation == ninth.incarnation + 6);
 }
--- a/tests/mesh/gossip_world.hpp
+++ b/tests/mesh/gossip_world.hpp
@@ -20,9 +20,9 @@
 
 using gossip::Gossip;
 using gossip::Message;
+using registry::MemberState;
 using registry::Millis;
 using registry::NodeRecord;
-using registry::Standing;
 
 class GossipWorld {
 public:
@@ -39,7 +39,7 @@
             NodeRecord record;
             record.ip = ip_of(i);
             record.zone = "zone-" + std::to_string(i % 3);
-            record.role = i < 3 ? registry::NodeRole::hub : registry::NodeRole::proxy;
+            record.role = i < 3 ? registry::NodeRole::control_node : registry::NodeRole::proxy;
             record.traffic_port = 8624;
             if (i >= 3) record.server = registry::ServerRecord{"i-7f3a91c2", "huvo11a", "v1", 8080, 18};
             this->nodes.push_back({nullptr, record, false, {}, 0, 0, 0, 0});
@@ -78,7 +78,7 @@
         process_output(i);
     }
     void receive(std::size_t i, const Message& message) {
-        nodes[i].gossip->heard(now, message);
+        nodes[i].gossip->on_message(now, message);
         process_output(i);
     }
     void freeze(std::size_t i) { nodes[i].frozen = true; }
@@ -90,7 +90,7 @@
     void update(std::size_t i, auto change) {
         NodeRecord record = nodes[i].gossip->self();
         change(record);
-        nodes[i].gossip->tell(now, record);
+        nodes[i].gossip->update_self(now, record);
         process_output(i);
     }
     // Drops datagrams from a to b while `cut`.
@@ -143,9 +143,9 @@
         return std::nullopt;
     }
 
-    Standing standing(std::size_t at, std::size_t of) const {
+    MemberState state(std::size_t at, std::size_t of) const {
         const auto* entry = nodes[at].gossip->registry().find(ip_of(of));
-        return entry ? entry->standing : Standing::gone;
+        return entry ? entry->state : MemberState::gone;
     }
     bool running(std::size_t i) const { return nodes[i].gossip && !nodes[i].frozen; }
     // Whether all running nodes see all running nodes alive, with their newest records, and all others gone.
@@ -162,8 +162,8 @@
             for (std::size_t b = 0; b < nodes.size(); ++b) {
                 const auto* entry = nodes[a].gossip->registry().find(ip_of(b));
                 if (!running(b)) {
-                    if (entry && entry->standing != Standing::gone) return false;
-                } else if (!entry || entry->standing != Standing::alive ||
+                    if (entry && entry->state != MemberState::gone) return false;
+                } else if (!entry || entry->state != MemberState::alive ||
                            !registry::same_version(entry->record, nodes[b].gossip->self())) {
                     return false;
                 }
@@ -180,9 +180,9 @@
         }
         return true;
     }
-    bool all_see(std::size_t of, Standing standing) const {
+    bool all_see(std::size_t of, MemberState state) const {
         for (std::size_t a = 0; a < nodes.size(); ++a)
-            if (running(a) && a != of && this->standing(a, of) != standing) return false;
+            if (running(a) && a != of && this->state(a, of) != state) return false;
         return true;
     }
     std::uint64_t sent() const {
@@ -236,11 +236,11 @@
             ++undecodable;
             return;
         }
-        node.gossip->heard(now, *message);
+        node.gossip->on_message(now, *message);
         process_output(to);
     }
     void process_output(std::size_t i) {
-        auto out = nodes[i].gossip->take();
+        auto out = nodes[i].gossip->take_output();
         for (const auto& datagram : out.datagrams) {
             std::string bytes = gossip::encode(datagram.message);
             ++nodes[i].sent;
--- a/tests/mesh/proxy_io_test.cpp
+++ b/tests/mesh/proxy_io_test.cpp
@@ -29,7 +29,7 @@
                R"(","deadline_s":5,"target_s":1,"priority":0,"service":"goods","tries":)" +
                std::to_string(tries) + "}";
     };
-    const auto parsed = config::read_whole(
+    const auto parsed = config::parse_configuration(
         R"({"edition":"r1","routes":{)" + route("plain", "plain") + "," + route("registered", "registered") +
             R"(},"services":{"goods":{"health_path":"/health","max_connections":100}},)"
             R"("limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_read_s":3,"idle_timeout_s":15}})",
@@ -70,7 +70,7 @@
         node.traffic_port = listener.endpoint().port();
         node.ready = true;
         node.server.emplace();
-        node.server->life = instance_id;
+        node.server->instance_id = instance_id;
         node.server->service = "goods";
         node.server->capacity = capacity;
         return node;
@@ -102,7 +102,7 @@
             Outbound::Callbacks{[] { return std::size_t{1}; },
                                 [this](const auto& visit) {
                                     for (const auto& record : records_)
-                                        visit(record, registry::Standing::alive);
+                                        visit(record, registry::MemberState::alive);
                                 },
                                 [](std::uint32_t, std::uint64_t) {}, [](std::uint32_t) {}},
             7);
--- a/tests/mesh/registry_test.cpp
+++ b/tests/mesh/registry_test.cpp
@@ -50,11 +50,11 @@
     record.incarnation = 6;
     record.seq = 1;
     CHECK(registry.merge(0, record).changed);
-    CHECK(registry.set_state(0, 1, Standing::gone));
-    CHECK_FALSE(registry.set_state(0, 1, Standing::gone));
+    CHECK(registry.set_state(0, 1, MemberState::gone));
+    CHECK_FALSE(registry.set_state(0, 1, MemberState::gone));
     record.seq = 2;
     CHECK(registry.merge(0, record).changed);
-    CHECK(registry.find(1)->standing == Standing::alive);
+    CHECK(registry.find(1)->state == MemberState::alive);
 }
 
 TEST_CASE("registry: digests depend on the content of a table, not on the order of its updates") {
@@ -70,10 +70,10 @@
     CHECK(a.digest() != b.digest());
     for (std::size_t range = 0; range < kRanges; ++range)
         CHECK((a.ranges()[range] != b.ranges()[range]) == (range == Registry::range_of(77)));
-    b.set_state(0, 77, Standing::gone);
-    a.set_state(0, 77, Standing::gone);
+    b.set_state(0, 77, MemberState::gone);
+    a.set_state(0, 77, MemberState::gone);
     CHECK(a.digest() == b.digest());  // nodes that are gone are not in the digest
-    b.set_state(0, 78, Standing::suspect);
+    b.set_state(0, 78, MemberState::suspect);
     CHECK(a.digest() == b.digest());
 }
 
@@ -82,16 +82,16 @@
     NodeRecord record = record_of(1, 1, 1);
     record.server = ServerRecord{"i-1", "huvo11a", "v1", 8080, 18, false, 4, 3.0};
     registry.merge(1000, record);
-    CHECK(Registry::handed_on(2500, *registry.find(1)).server->warmup_left_s == doctest::Approx(1.5));
-    CHECK(Registry::handed_on(9000, *registry.find(1)).server->warmup_left_s == 0);
+    CHECK(Registry::current_record(2500, *registry.find(1)).server->warmup_left_s == doctest::Approx(1.5));
+    CHECK(Registry::current_record(9000, *registry.find(1)).server->warmup_left_s == 0);
 }
 
 TEST_CASE("registry: gone nodes are purged after a minute, and evicted before that if the table is full") {
     Registry registry;
     for (std::uint32_t ip = 1; ip <= kMaxNodes; ++ip) registry.merge(0, record_of(ip, 1, 1));
     CHECK(registry.merge(0, record_of(9999, 1, 1)).outcome == Registry::MergeOutcome::refused);
-    registry.set_state(5, 7, Standing::gone);
-    registry.set_state(4, 8, Standing::gone);
+    registry.set_state(5, 7, MemberState::gone);
+    registry.set_state(4, 8, MemberState::gone);
     CHECK(registry.merge(6, record_of(9999, 1, 1)).outcome == Registry::MergeOutcome::newer);
     CHECK_FALSE(registry.find(8));
     CHECK(registry.purge_gone(5 + kGoneRetentionMs - 1).empty());
@@ -102,9 +102,9 @@
 TEST_CASE("registry: a node marked gone as of a later record is not revived by an earlier one") {
     Registry registry;
     registry.merge(0, record_of(1, 1, 3));
-    CHECK(registry.mark_gone(0, {1, 1, 5, Standing::gone}));
+    CHECK(registry.mark_gone(0, {1, 1, 5, MemberState::gone}));
     CHECK(registry.merge(0, record_of(1, 1, 5)).outcome == Registry::MergeOutcome::same);
-    CHECK(registry.find(1)->standing == Standing::gone);
+    CHECK(registry.find(1)->state == MemberState::gone);
     CHECK(registry.merge(0, record_of(1, 1, 6)).outcome == Registry::MergeOutcome::newer);
 }
 
@@ -114,18 +114,18 @@
     message.kind = kind;
     message.from = {0x0a010029, 7, 8, 9, 10};
     message.number = 11;
-    message.target = {0x0a01002a, 1, 2, Standing::suspect};
+    message.target = {0x0a01002a, 1, 2, MemberState::suspect};
     message.part = 1;
     message.parts = 3;
     message.complete_ranges = 0xff;
     message.sender_is_new = true;
     for (std::size_t i = 0; i < kRanges; ++i) message.ranges[i] = static_cast<std::uint32_t>(i * 77);
-    message.keys = {{1, 2, 3, Standing::gone}, {4, 5, 6, Standing::alive}};
+    message.keys = {{1, 2, 3, MemberState::gone}, {4, 5, 6, MemberState::alive}};
     NodeRecord record = record_of(0x0a010029, 7, 8);
     record.ready = true;
     message.records.push_back(record);
     record.leaving = true;
-    record.role = NodeRole::hub;
+    record.role = NodeRole::control_node;
     record.server = ServerRecord{"i-7f3a91c2", "huvo11a", "v1", 8080, 18, true, 4, 1.5};
     message.records.push_back(record);
     return message;
