--- a/src/api/api_front.hpp
+++ b/src/api/api_front.hpp
@@ -20,7 +20,7 @@
     Bounds bounds() const override;
     std::optional<http::status> fault(const HttpRequest& head) override;
     std::optional<HttpResponse> local(const HttpRequest&) override { return {}; }
-    std::string name_of(const HttpRequest&) const override { return {}; }
+    std::string request_id_of(const HttpRequest&) const override { return {}; }
     RequestId arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) override;
     void client_gone(RequestId) override {}
 
--- a/src/caller/caller.hpp
+++ b/src/caller/caller.hpp
@@ -12,7 +12,7 @@
 //   - the module is informed exactly once of the end of each attempt that it asked for.
 //
 // An Environment provides:
-//   types   RequestPtr, Response, ClientPtr, Endpoint, Story (protocol state of one request)
+//   types   RequestPtr, Response, ClientPtr, Endpoint, RequestContext (protocol state of one request)
 //   Millis now()
 //   void post_pump()         calls pump() in the next turn of the event loop
 //   void wake_at(Millis)     calls wake() at that time; replaces the time set before
@@ -20,11 +20,11 @@
 //   void expire(AttemptKey)  void cancel(AttemptKey)  void withdraw_request(RequestId)
 //   void withdraw_server(ServerId)  void retire(ServerId)  void close_idle(ServerId)
 //   void probe(ServerId, const Endpoint&)
-//   RequestArrived classify(const RequestPtr&, Story&)    fills all but the id and the time left
-//   bool may_send(const RequestPtr&, Story&, const std::string& server)
-//   AttemptResult read(Outcome, const Response*, Story&)
+//   RequestArrived classify(const RequestPtr&, RequestContext&)    fills all but the id and the time left
+//   bool may_send(const RequestPtr&, RequestContext&, const std::string& server)
+//   AttemptResult read(Outcome, const Response*, RequestContext&)
 //   void answer(const ClientPtr&, Response&&, bool own)   `own`: generated here, not by a server
-//   Response refusal(Story&, Millis retry_in)  Response failure(Story&)
+//   Response refusal(RequestContext&, Millis retry_in)  Response failure(RequestContext&)
 //   ZoneId zone_number(const std::string&)
 //   void carry_out(const SendToPeer&), (const Subscribe&) and (const FetchList&)
 //   void log(const std::string& text, const std::string& server)
@@ -63,7 +63,7 @@
     using Response = typename Environment::Response;
     using ClientPtr = typename Environment::ClientPtr;
     using Endpoint = typename Environment::Endpoint;
-    using Story = typename Environment::Story;
+    using RequestContext = typename Environment::RequestContext;
 
     struct Server {
         std::string name;
@@ -104,7 +104,7 @@
     RequestId arrived(RequestPtr message, Millis time_left, ClientPtr client) {
         const RequestId id = next_request_++;
         Request& request = requests_[id];
-        RequestArrived event = environment_.classify(message, request.story);
+        RequestArrived event = environment_.classify(message, request.request_context);
         event.id = id;
         event.time_left = time_left;
         request.class_index = event.class_index;
@@ -174,7 +174,7 @@
         --request.in_flight;
         const auto [sent_at, server_id] = request.sent[key.attempt];
         AttemptEnded event{key.id, key.attempt, outcome, environment_.now() - sent_at, false};
-        const AttemptResult reading = environment_.read(outcome, response, request.story);
+        const AttemptResult reading = environment_.read(outcome, response, request.request_context);
         event.outcome = reading.outcome;
         if (reading.final) answer(key.id, request, std::move(*response), false);
         event.request_ended = request.ended;
@@ -220,7 +220,7 @@
         std::uint32_t class_index = 0;
         std::uint32_t attempts = 0, in_flight = 0;
         bool ended = false;
-        Story story;
+        RequestContext request_context;
         std::vector<std::pair<Millis, ServerId>> sent;  // time and server, by attempt number
     };
     // A timer of the module, or the time-out of an attempt. At equal times, attempts expire first (lower
@@ -282,7 +282,7 @@
         environment_.withdraw_request(id);
         for (std::uint32_t attempt = 0; attempt < request.attempts; ++attempt)
             environment_.expire({id, attempt});
-        environment_.answer(request.client, environment_.refusal(request.story, 0), true);
+        environment_.answer(request.client, environment_.refusal(request.request_context, 0), true);
         push(ClientGone{id});
         drop_request(id);
     }
@@ -302,7 +302,7 @@
         // Since the decision the request may have ended, or its server been removed or drained.
         if (request.ended || to == servers_.end() || !to->second.listed || to->second.phase != Phase::on)
             return attempt_ended(key, Outcome::not_sent, nullptr);
-        if (!environment_.may_send(request.message, request.story, to->second.name))
+        if (!environment_.may_send(request.message, request.request_context, to->second.name))
             return attempt_ended(key, Outcome::not_sent, nullptr);
         due_.push({action.attempt_deadline, 0, next_due_order_++, key, 0});
         environment_.send(key, action.server, to->second.dial, request.message, action.attempt_deadline);
@@ -313,14 +313,15 @@
     void carry_out(const Refuse& action) {
         const auto at = requests_.find(action.id);
         if (at == requests_.end()) return;
-        answer(action.id, at->second, environment_.refusal(at->second.story, action.retry_in), true);
+        answer(action.id, at->second, environment_.refusal(at->second.request_context, action.retry_in),
+               true);
         drop_request(action.id);
     }
 
     void carry_out(const Fail& action) {
         const auto at = requests_.find(action.id);
         if (at == requests_.end()) return;
-        answer(action.id, at->second, environment_.failure(at->second.story), true);
+        answer(action.id, at->second, environment_.failure(at->second.request_context), true);
         drop_request(action.id);
     }
 
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -73,7 +73,7 @@
         section.number(key.c_str(), value, one->least, one->most);
         set[before + key] = value;
     }
-    section.done();
+    section.reject_unknown_keys();
 }
 
 void read_vary(Section section, std::vector<Experiment::Vary>& vary, const std::string& before = "") {
@@ -88,10 +88,10 @@
         section.numbers(key.c_str(), v.values, 100);
         for (const double value : v.values)
             if (value < one->least || value > one->most)
-                section.wrong(key.c_str(), "has a value out of its range");
+                section.fail_key(key.c_str(), "has a value out of its range");
         vary.push_back(v);
     }
-    section.done();
+    section.reject_unknown_keys();
 }
 
 void read_troubles(Section& section, sim::Troubles& t) {
@@ -105,7 +105,7 @@
     section.flag("lossy", t.lossy);
     section.flag("restarts", t.restarts);
     section.count("liars", t.liars, 0, 15);
-    section.done();
+    section.reject_unknown_keys();
 }
 
 void read_law(Section& section, const char* key, const std::vector<std::string>& names, const char* setting,
@@ -114,7 +114,7 @@
     section.text(key, name);
     if (name.empty()) return;
     const auto at = std::find(names.begin(), names.end(), name);
-    if (at == names.end()) section.wrong(key, "is no law that there is");
+    if (at == names.end()) section.fail_key(key, "is no law that there is");
     set[setting] = static_cast<double>(at - names.begin());
 }
 
@@ -124,7 +124,7 @@
     Experiment e;
     const toml::table table = parsed_toml(text, file);
     Section root(table, "", file);
-    root.need("name"), root.text("name", e.name);
+    root.require("name"), root.text("name", e.name);
     root.text("about", e.about);
     e.day.length = 20000;
     root.number("length_ms", e.day.length, 100, 3.6e6);
@@ -137,61 +137,61 @@
     Section workload = root.section("workload");
     read_law(workload, "arrivals", kArrivals, "arrivals.law", e.day.set);
     read_law(workload, "sizes", kSizes, "sizes.law", e.day.set);
-    workload.done();
+    workload.reject_unknown_keys();
     for (Section& section : root.sections("way", 50)) {
         Experiment::Way way;
-        section.need("name"), section.text("name", way.name);
+        section.require("name"), section.text("name", way.name);
         for (const auto& other : e.ways)
-            if (other.name == way.name) section.wrong("name", "is another way's already");
+            if (other.name == way.name) section.fail_key("name", "is another way's already");
         read_set(section.section("set"), way.set);
         way.troubles = t;
         Section changed = section.section("troubles");
         read_troubles(changed, way.troubles);
-        section.done();
+        section.reject_unknown_keys();
         e.ways.push_back(way);
     }
     for (Section& fault : root.sections("fault", kMostFaults)) {
         sim::Fault f;
-        fault.need("kind"), fault.text("kind", f.kind);
-        if (!sim::Registry::all().faults.count(f.kind)) fault.wrong("kind", "is no fault that there is");
+        fault.require("kind"), fault.text("kind", f.kind);
+        if (!sim::Registry::all().faults.count(f.kind)) fault.fail_key("kind", "is no fault that there is");
         fault.text("target", f.target);
         fault.number("at_ms", f.at, 0, 3.6e6);
         fault.number("length_ms", f.length, 0, 3.6e6);
         fault.number("amount", f.amount, -1e9, 1e9);
-        fault.done();
+        fault.reject_unknown_keys();
         e.day.faults.push_back(f);
     }
 
     read_vary(root.section("vary"), e.vary);
     std::size_t variants = std::max<std::size_t>(1, e.ways.size());
     for (const auto& v : e.vary) variants *= v.values.size();
-    if (variants > kMostVariants) root.wrong("vary", "makes more than 1000 variants");
+    if (variants > kMostVariants) root.fail_key("vary", "makes more than 1000 variants");
     root.text("pair", e.pair);
     if (!e.pair.empty() && !(e.pair == "way" && !e.ways.empty()) &&
         std::none_of(e.vary.begin(), e.vary.end(), [&](const auto& v) { return v.name == e.pair; }))
-        root.wrong("pair", "is not varied");
+        root.fail_key("pair", "is not varied");
 
     Section seeds = root.section("seeds");
     seeds.count("first", e.first_seed, 0, 1e15);
     seeds.count("count", e.seeds, 1, kMostSeeds);
     seeds.count("quick", e.quick_seeds, 1, kMostSeeds);
-    seeds.done();
+    seeds.reject_unknown_keys();
 
     for (Section& bound : root.sections("bound", 100)) {
         Experiment::Bound b;
         b.line = bound.line();
-        bound.need("figure"), bound.text("figure", b.figure);
+        bound.require("figure"), bound.text("figure", b.figure);
         const auto& all = known_figures();
         const bool paired = b.figure == "loss removed" && !e.pair.empty();
         if (std::find(all.begin(), all.end(), b.figure) == all.end() && !paired)
-            bound.wrong("figure", "is a figure that no engine measures");
+            bound.fail_key("figure", "is a figure that no engine measures");
         std::string of_way;
         bound.text("way", of_way);
         read_set(bound.section("where"), b.where);
         if (!of_way.empty()) {
             const auto way =
                 std::find_if(e.ways.begin(), e.ways.end(), [&](const auto& w) { return w.name == of_way; });
-            if (way == e.ways.end()) bound.wrong("way", "is a way that is never played");
+            if (way == e.ways.end()) bound.fail_key("way", "is a way that is never played");
             b.where["way"] = static_cast<double>(way - e.ways.begin());
         }
         for (const auto& given : b.where) {
@@ -201,16 +201,16 @@
                 std::find_if(e.vary.begin(), e.vary.end(), [&](const auto& v) { return v.name == name; });
             if (varied == e.vary.end() ||
                 std::find(varied->values.begin(), varied->values.end(), given.second) == varied->values.end())
-                bound.wrong("where", "is a variant that is never played");
+                bound.fail_key("where", "is a variant that is never played");
         }
         double amount = 0;
         if (bound.has("at_most")) bound.number("at_most", amount, -1e12, 1e12), b.at_most = amount;
         if (bound.has("at_least")) bound.number("at_least", amount, -1e12, 1e12), b.at_least = amount;
-        if (!b.at_most && !b.at_least) bound.wrong("figure", "has neither at_most nor at_least");
-        bound.done();
+        if (!b.at_most && !b.at_least) bound.fail_key("figure", "has neither at_most nor at_least");
+        bound.reject_unknown_keys();
         e.bounds.push_back(b);
     }
-    root.done();
+    root.reject_unknown_keys();
     return e;
 }
 
--- a/src/lab/load_command.cpp
+++ b/src/lab/load_command.cpp
@@ -17,7 +17,7 @@
     section.text(key, name);
     if (name.empty()) return;
     const auto at = std::find_if(all.begin(), all.end(), [&](const auto& one) { return one.first == name; });
-    if (at == all.end()) section.wrong(key, "is none of those that there are");
+    if (at == all.end()) section.fail_key(key, "is none of those that there are");
     value = at->second;
 }
 
@@ -44,8 +44,8 @@
     LoadPlan plan;
     const toml::table table = parsed_toml(text, file);
     Section root(table, "", file);
-    root.need("targets"), root.endpoints("targets", plan.targets, 1000);
-    if (plan.targets.empty()) root.wrong("targets", "has no entry");
+    root.require("targets"), root.endpoints("targets", plan.targets, 1000);
+    if (plan.targets.empty()) root.fail_key("targets", "has no entry");
     Load::Options& o = plan.options;
     root.count("seed", o.seed, 0, 1e15);
     root.count("connections", o.connections, 0, LoadPlan::kMostConnections);
@@ -71,20 +71,20 @@
     if (!steps.empty()) plan.steps.clear();
     for (Section step : steps) {
         Load::Step one;
-        step.need("rate"), step.number("rate", one.rate, 0.001, LoadPlan::kMostRate);
+        step.require("rate"), step.number("rate", one.rate, 0.001, LoadPlan::kMostRate);
         double seconds = 10;
         step.number("seconds", seconds, 0.1, kMostLength / 1000);
         one.length = seconds * 1000;
-        step.done();
+        step.reject_unknown_keys();
         plan.steps.push_back(one);
     }
     auto classes = root.sections("class", 100);
     if (!classes.empty()) o.classes.clear();
     for (Section& section : classes) {
         ClassLoad one;
-        section.need("name"), section.text("name", one.name);
+        section.require("name"), section.text("name", one.name);
         for (const ClassLoad& other : o.classes)
-            if (other.name == one.name) section.wrong("name", "is another class's already");
+            if (other.name == one.name) section.fail_key("name", "is another class's already");
         choice<ClassLoad::Effect>(section, "effect", one.effect,
                                   {{"safe", ClassLoad::Effect::safe},
                                    {"keyed", ClassLoad::Effect::keyed},
@@ -95,25 +95,25 @@
         section.text("path", one.path);
         if (!one.path.empty() &&
             (one.path[0] != '/' || one.path.find_first_of(" ?#\r\n\t") != std::string::npos))
-            section.wrong("path", "is no path that can be sent");
+            section.fail_key("path", "is no path that can be sent");
         if (one.path.empty() &&
             (one.name.empty() || one.name.find_first_of(" /?#%\r\n\t") != std::string::npos))
-            section.wrong("name", "can't stand in a path; say which with path");
+            section.fail_key("name", "can't stand in a path; say which with path");
         section.count("body_bytes", one.body_bytes, 0, 64 * 1024);
-        section.done();
+        section.reject_unknown_keys();
         o.classes.push_back(one);
     }
     double shares = 0;
     for (const ClassLoad& one : o.classes) shares += one.share;
-    if (shares <= 0) root.wrong("class", "has shares that sum to nothing");
+    if (shares <= 0) root.fail_key("class", "has shares that sum to nothing");
     Section bound = root.section("bound");
     double value = 0;
     if (bound.has("in_time_share"))
         bound.number("in_time_share", value, 0, 1), plan.bounds.in_time_share = value;
     if (bound.has("p99_ms")) bound.number("p99_ms", value, 0, 1e6), plan.bounds.p99_ms = value;
     if (bound.has("wrong")) bound.number("wrong", value, 0, 1e12), plan.bounds.wrong = value;
-    bound.done();
-    root.done();
+    bound.reject_unknown_keys();
+    root.reject_unknown_keys();
     return plan;
 }
 
--- a/src/lease_cli.cpp
+++ b/src/lease_cli.cpp
@@ -184,7 +184,7 @@
         return 2;
     }
     settings_ = load_settings(file_);
-    log_as(settings_.log);
+    set_log_format(settings_.log);
     need_keepers();
     if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
     if (keeper_->parsed()) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -97,7 +97,7 @@
     return {true, std::exchange(state.bucket.suppressed, 0)};
 }
 
-void log_as(LogFormat format) { log().set_format(format); }
+void set_log_format(LogFormat format) { log().set_format(format); }
 
 void log_line(std::string_view event, std::string text, std::initializer_list<LogField> fields) {
     log().line(event, std::move(text), fields);
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -30,7 +30,7 @@
 constexpr std::size_t kMaxLogValueChars = 200;  // characters; applies to the text and to each value
 
 // Sets the format from now on; the default is text.
-void log_as(LogFormat format);
+void set_log_format(LogFormat format);
 
 // `event`: a constant name that is unique to this message and never contains external input. The number of an
 // event's suppressed lines is reported with its next line. Control characters are replaced by '?', and the
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -23,7 +23,7 @@
 // Loads the settings, or the defaults without a file, and sets the log format.
 ProgramSettings settings_of(const std::string& file) {
     ProgramSettings settings = file.empty() ? ProgramSettings() : load_settings(file);
-    log_as(settings.log);
+    set_log_format(settings.log);
     return settings;
 }
 
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -113,7 +113,7 @@
 HostList hosts_at(const Field& field) {
     HostList list;
     list.seq = field["seq"].whole_number<std::uint64_t>();
-    list.whole = field["whole"].flag();
+    list.is_full = field["whole"].flag();
     for (const Field& item : field["hosts"].items()) {
         Host h;
         h.name = item["host"].text();
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -34,7 +34,7 @@
 };
 struct HostList {
     std::uint64_t seq = 0;
-    bool whole = false;  // the full list; false: changes only
+    bool is_full = false;  // the full list; false: changes only
     std::vector<Host> hosts;
 };
 // Parses an answer of discovery; throws ConfigError.
--- a/src/net/dialect.cpp
+++ b/src/net/dialect.cpp
@@ -12,7 +12,7 @@
     return seconds;
 }
 
-RequestArrived PlatformDialect::classify(const HttpRequest& message, Story&) {
+RequestArrived PlatformDialect::classify(const HttpRequest& message, RequestContext&) {
     RequestArrived event;
     const auto& names = config_.classes;
     event.repeat = message["X-Repeat"] == "1";
@@ -26,7 +26,7 @@
     return event;
 }
 
-AttemptResult PlatformDialect::read(Outcome outcome, const HttpResponse* response, Story&) {
+AttemptResult PlatformDialect::read(Outcome outcome, const HttpResponse* response, RequestContext&) {
     // A 4xx concerns the request and not the server: any other server would answer the same. It is passed on
     // unchanged, and the outcome `recalled` counts neither for nor against the server. 429 is not passed on,
     // as it would tell the client that the request never ran.
@@ -36,15 +36,15 @@
             (outcome == Outcome::completed || unfit) && response != nullptr};
 }
 
-void PlatformDialect::tidy(HttpResponse& response) { response.erase("X-Backend-Load"); }
+void PlatformDialect::strip_internal_headers(HttpResponse& response) { response.erase("X-Backend-Load"); }
 
-HttpResponse PlatformDialect::refusal(Story&, Millis retry_in) {
+HttpResponse PlatformDialect::refusal(RequestContext&, Millis retry_in) {
     HttpResponse response(http::status::service_unavailable, 11);
     if (retry_in > 0)
         response.set(http::field::retry_after, seconds_text(std::min(retry_in, config_.max_retry_after)));
     return response;
 }
 
-HttpResponse PlatformDialect::failure(Story&) { return HttpResponse(http::status::bad_gateway, 11); }
+HttpResponse PlatformDialect::failure(RequestContext&) { return HttpResponse(http::status::bad_gateway, 11); }
 
 }  // namespace cobaltshift
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -116,7 +116,7 @@
     } catch (const std::exception& error) {
         return failed(call, std::string("an answer that can't be parsed: ") + error.what());
     }
-    if (call->full && !list.whole)
+    if (call->full && !list.is_full)
         return failed(call, "an incremental list in answer to a request for the full list");
     if (list.seq < seq_) {
         resync_needed_ = true;
@@ -125,11 +125,11 @@
     call_.reset();
     if (call->parser.keep_alive()) idle_stream_ = std::move(call->stream);
     seq_ = list.seq;
-    if (list.whole) resync_needed_ = false;
+    if (list.is_full) resync_needed_ = false;
     if (call->full) fetch_requested_ = false;
     // The next call is sent before the list is applied, so that the watch has no gap.
     next();
-    if (list.whole || !list.hosts.empty() || config_.settings.subscribe_to_list) handlers_.on_list(list);
+    if (list.is_full || !list.hosts.empty() || config_.settings.subscribe_to_list) handlers_.on_list(list);
 }
 
 void Discovery::failed(const std::shared_ptr<Call>& call, const std::string& why) {
--- a/src/net/front.hpp
+++ b/src/net/front.hpp
@@ -43,9 +43,9 @@
     // arrived().
     virtual std::optional<HttpResponse> local(const HttpRequest& request) = 0;
     // The request's id: a request is rejected while another one with the same id is open. Empty: not checked.
-    virtual std::string name_of(const HttpRequest& request) const = 0;
+    virtual std::string request_id_of(const HttpRequest& request) const = 0;
     // The name in log lines of a request for which request_id_of() is empty.
-    virtual std::string log_name_of(const HttpRequest&) const { return {}; }
+    virtual std::string log_name(const HttpRequest&) const { return {}; }
     // Accepts a request. `spent`: ms since its first byte. The answer is delivered later, through the client.
     virtual RequestId arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) = 0;
     // The client disconnected before the answer was given.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -238,10 +238,10 @@
         if (auto response = owner_.front_.local(*request)) return write(std::move(*response), keep_);
         // The trailers of a chunked body may have added fields to the head.
         if (chunked && owner_.front_.fault(*request)) return reject(http::status::bad_request);
-        std::string name = owner_.front_.name_of(*request);
+        std::string name = owner_.front_.request_id_of(*request);
         if (!name.empty() && !owner_.open_ids_.insert(name).second)
             return write(HttpResponse(http::status::conflict, 11), keep_);
-        log_name_ = name.empty() ? owner_.front_.log_name_of(*request) : name;
+        log_name_ = name.empty() ? owner_.front_.log_name(*request) : name;
         open_name_ = std::move(name);
         set_state(State::waiting);
         deadline_ = 0;
@@ -308,7 +308,7 @@
     // Queues a long answer for the paced link. False: the answer is short and is to be written at once.
     bool write_paced(bool keep, Millis urgent_at) {
         if (!owner_.link_->is_long(response_.body().size())) {
-            owner_.link_->sent(response_.body().size());
+            owner_.link_->record_sent(response_.body().size());
             return false;
         }
         std::ostringstream head;
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -51,9 +51,9 @@
     struct OpenRequest {
         enum class Stage { reading, waiting, answering };
         Stage stage;
-        std::string name;             // the front end's name for log lines; empty while it is read
-        Millis age = 0;               // ms since its first byte
-        std::size_t answer_left = 0;  // bytes not accepted by the kernel, as far as known
+        std::string name;              // the front end's name for log lines; empty while it is read
+        Millis age = 0;                // ms since its first byte
+        std::size_t unsent_bytes = 0;  // bytes not accepted by the kernel, as far as known
     };
     std::vector<OpenRequest> open_requests() const;
 
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -54,15 +54,16 @@
                {config_.connect_timeout, config_.idle_close, server_connections(config_, shares), kSettleMs}),
       front_(sidecar_),
       listener_(io, clock_, front_, limits(config_, shares)),
-      discovery_(io, config_,
-                 {[this](const HostList& list) { sidecar_.told(list); }, [this] { sidecar_.list_failed(); }}),
+      discovery_(
+          io, config_,
+          {[this](const HostList& list) { sidecar_.apply_list(list); }, [this] { sidecar_.list_failed(); }}),
       timer_(io),
       tally_timer_(io),
       tally_seconds_(shares.tally_seconds) {
     if (config_.peer_listen && config_.settings.may_message_peers)
         peers_ =
             std::make_unique<Peers>(io, config_, [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
-                sidecar_.peer_said(from, std::move(bytes));
+                sidecar_.on_peer_message(from, std::move(bytes));
             });
     sidecar_.connect_to(discovery_, peers_.get());
     listener_.listen(config_.listen);
--- a/src/net/paced_link.cpp
+++ b/src/net/paced_link.cpp
@@ -13,9 +13,9 @@
 SendScheduler::Settings settings_for(double bytes_per_ms) {
     SendScheduler::Settings settings;
     settings.bytes_per_ms = bytes_per_ms;
-    settings.ahead = kMaxLeadMs;
-    settings.piece = std::max(kMinPieceBytes, static_cast<std::size_t>(bytes_per_ms * kMaxLeadMs));
-    settings.long_from = settings.piece;
+    settings.max_lead = kMaxLeadMs;
+    settings.piece_bytes = std::max(kMinPieceBytes, static_cast<std::size_t>(bytes_per_ms * kMaxLeadMs));
+    settings.long_answer_bytes = settings.piece_bytes;
     return settings;
 }
 }  // namespace
@@ -61,10 +61,10 @@
 
 void PacedLink::record_wait(const PendingWrite& write) {
     const Millis waited = clock_.now() - write.queued_at;
-    ++waits_.answers;
-    if (waited <= waits_.longest) return;
-    waits_.longest = waited;
-    waits_.longest_bytes = write.bytes.size();
+    ++wait_stats_.answers;
+    if (waited <= wait_stats_.longest) return;
+    wait_stats_.longest = waited;
+    wait_stats_.longest_bytes = write.bytes.size();
 }
 
 void PacedLink::write_granted() {
@@ -97,7 +97,7 @@
     at->second.written_bytes += bytes;
     at->second.piece_started_at.reset();
     if (ec) scheduler_.remove(id);
-    if (ec || scheduler_.finished(id)) {
+    if (ec || scheduler_.on_piece_written(id)) {
         if (!ec) record_wait(at->second);
         const auto done = std::move(at->second.on_done);
         writes_.erase(at);
--- a/src/net/paced_link.hpp
+++ b/src/net/paced_link.hpp
@@ -26,9 +26,9 @@
     PacedLink& operator=(const PacedLink&) = delete;
 
     bool is_long(std::size_t bytes) const { return scheduler_.is_long(bytes); }
-    std::size_t long_from() const { return scheduler_.long_from(); }
+    std::size_t long_answer_bytes() const { return scheduler_.long_answer_bytes(); }
     // Accounts for a short answer that the caller writes itself.
-    void sent(std::size_t bytes) { scheduler_.sent(clock_.now(), bytes); }
+    void record_sent(std::size_t bytes) { scheduler_.record_sent(clock_.now(), bytes); }
     // Queues `bytes` for `socket`; the write becomes urgent at `urgent_at`. `done` is called once the kernel
     // has accepted all bytes, or with the error that ended the write; never after cancel(). `socket` must
     // live until then.
@@ -47,12 +47,12 @@
 
     // Time from write() until the kernel had the whole answer, over the long answers completed since the last
     // take_wait_stats().
-    struct Waits {
+    struct WaitStats {
         std::uint64_t answers = 0;
         Millis longest = 0;
         std::size_t longest_bytes = 0;  // size of the answer that waited longest
     };
-    Waits take_waits() { return std::exchange(waits_, {}); }
+    WaitStats take_wait_stats() { return std::exchange(wait_stats_, {}); }
 
     // How long the link needs for everything sent and queued, in ms.
     Millis backlog() const { return scheduler_.backlog(clock_.now()); }
@@ -76,7 +76,7 @@
     const double bytes_per_ms_;
     SendScheduler scheduler_;
     std::unordered_map<WriteId, PendingWrite> writes_;
-    Waits waits_;
+    WaitStats wait_stats_;
     asio::steady_timer timer_;
     Millis timer_due_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/net/send_scheduler.cpp
+++ b/src/net/send_scheduler.cpp
@@ -4,7 +4,7 @@
 
 namespace cobaltshift {
 
-void SendScheduler::sent(Millis now, std::size_t bytes) {
+void SendScheduler::record_sent(Millis now, std::size_t bytes) {
     link_free_at_ = std::max(link_free_at_, now) + static_cast<double>(bytes) / settings_.bytes_per_ms;
 }
 
@@ -16,7 +16,7 @@
     return id;
 }
 
-bool SendScheduler::finished(Id id) {
+bool SendScheduler::on_piece_written(Id id) {
     const auto at = answers_.find(id);
     if (at == answers_.end()) return true;
     if (at->second.remaining_bytes == 0) {
@@ -51,21 +51,21 @@
 }
 
 std::optional<SendScheduler::Grant> SendScheduler::next(Millis now) {
-    if (by_remaining_.empty() || (!released_ && now + settings_.ahead < link_free_at_)) return {};
+    if (by_remaining_.empty() || (!released_ && now + settings_.max_lead < link_free_at_)) return {};
     const Id id = select_next(now);
     QueuedAnswer& answer = answers_.at(id);
     dequeue(id, answer);
     const std::size_t granted =
-        released_ ? answer.remaining_bytes : std::min(settings_.piece, answer.remaining_bytes);
+        released_ ? answer.remaining_bytes : std::min(settings_.piece_bytes, answer.remaining_bytes);
     answer.remaining_bytes -= granted;
     queued_bytes_ -= granted;
-    sent(now, granted);
+    record_sent(now, granted);
     return Grant{id, granted};
 }
 
 std::optional<SendScheduler::Millis> SendScheduler::due() const {
     if (by_remaining_.empty()) return {};
-    return link_free_at_ - settings_.ahead;
+    return link_free_at_ - settings_.max_lead;
 }
 
 SendScheduler::Millis SendScheduler::backlog(Millis now) const {
--- a/src/net/send_scheduler.hpp
+++ b/src/net/send_scheduler.hpp
@@ -30,10 +30,10 @@
     using Millis = double;  // monotonic time, from any origin
     using Id = std::uint64_t;
     struct Settings {
-        double bytes_per_ms = 0;           // rate of the link
-        std::size_t long_from = 8 * 1024;  // answers of at least this many bytes are scheduled
-        std::size_t piece = 8 * 1024;      // bytes handed to the kernel per grant
-        Millis ahead = 12;                 // link time that may be handed to the kernel in advance
+        double bytes_per_ms = 0;                   // rate of the link
+        std::size_t long_answer_bytes = 8 * 1024;  // answers of at least this many bytes are scheduled
+        std::size_t piece_bytes = 8 * 1024;        // bytes handed to the kernel per grant
+        Millis max_lead = 12;                      // link time that may be handed to the kernel in advance
     };
     struct Grant {
         Id id;
@@ -42,16 +42,16 @@
 
     explicit SendScheduler(const Settings& settings) : settings_(settings) {}
 
-    bool is_long(std::size_t bytes) const { return bytes >= settings_.long_from; }
-    std::size_t long_from() const { return settings_.long_from; }
+    bool is_long(std::size_t bytes) const { return bytes >= settings_.long_answer_bytes; }
+    std::size_t long_answer_bytes() const { return settings_.long_answer_bytes; }
     // Accounts for a short answer that was written without being scheduled.
-    void sent(Millis now, std::size_t bytes);
+    void record_sent(Millis now, std::size_t bytes);
     // Queues a long answer that becomes urgent at `urgent_at`. The id is valid until on_piece_written()
     // returns true or remove() is called.
     Id add(std::size_t bytes, Millis urgent_at);
     // Reports that the kernel has accepted the piece granted last, and queues the rest for another grant.
     // Returns true if the answer is complete or was removed; the id is then no longer valid.
-    bool finished(Id id);
+    bool on_piece_written(Id id);
     void remove(Id id);
 
     // Ends pacing: from now on every answer is granted at once and whole. Used shortly before the process
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -34,7 +34,7 @@
                  [this](ServerId id, Outcome outcome, Millis duration) {
                      caller_.probe_ended(id, outcome, duration);
                  }},
-                dialect_.manner()),
+                dialect_.upstream_protocol()),
       timer_(io) {}
 
 Sidecar::~Sidecar() = default;
@@ -43,7 +43,7 @@
 
 void Sidecar::start() {
     caller_.push(Started{});
-    if (config_.known) told(*config_.known, true);
+    if (config_.known) apply_list(*config_.known, true);
 }
 
 Sidecar::ObjectCounts Sidecar::object_counts() const {
@@ -68,11 +68,11 @@
 
 void Sidecar::client_gone(RequestId id) { caller_.client_gone(id); }
 
-void Sidecar::told(const HostList& list, bool saved) {
-    const ListKind kind = saved ? ListKind::saved : list.whole ? ListKind::full : ListKind::incremental;
+void Sidecar::apply_list(const HostList& list, bool saved) {
+    const ListKind kind = saved ? ListKind::saved : list.is_full ? ListKind::full : ListKind::incremental;
     holds_list_ = true;
-    const std::vector<ServerInfo> listed = caller_.update_servers(kind, list.whole, list.hosts);
-    if (observer_) observer_->listed(listed, list.whole);
+    const std::vector<ServerInfo> listed = caller_.update_servers(kind, list.is_full, list.hosts);
+    if (observer_) observer_->listed(listed, list.is_full);
 }
 
 std::vector<ServerInfo> Sidecar::listed() const {
@@ -82,7 +82,7 @@
     return all;
 }
 
-std::optional<tcp::endpoint> Sidecar::dial_of(ServerId id) const {
+std::optional<tcp::endpoint> Sidecar::endpoint_of(ServerId id) const {
     const auto at = caller_.servers().find(id);
     if (at == caller_.servers().end() || !at->second.listed) return {};
     return at->second.dial;
@@ -90,7 +90,7 @@
 
 void Sidecar::list_failed() { caller_.push(ServerList{ListKind::failed, {}}); }
 
-void Sidecar::peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes) {
+void Sidecar::on_peer_message(std::uint32_t from, std::vector<std::uint8_t> bytes) {
     caller_.push(PeerMessage{from, std::move(bytes)});
 }
 
@@ -110,7 +110,7 @@
 void Sidecar::answer(const ClientPtr& waiting, Response&& response, bool own) {
     if (!own) {
         strip_hop_by_hop(response);
-        dialect_.tidy(response);
+        dialect_.strip_internal_headers(response);
     }
     if (const auto client = waiting.lock()) client->answer(std::move(response));
 }
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -36,10 +36,10 @@
         // `late`: the attempt took longer than the latency target of the request's class.
         virtual void ended(ServerId server, Outcome outcome, Millis duration, bool late) = 0;
     };
-    void observe(Observer* observer) { observer_ = observer; }  // null: none; must outlive its use
-    void guide(Guidance guidance) { caller_.push(std::move(guidance)); }
-    std::vector<ServerInfo> listed() const;                   // sets id, phase and online_since
-    std::optional<tcp::endpoint> dial_of(ServerId id) const;  // none: not listed
+    void set_observer(Observer* observer) { observer_ = observer; }  // null: none; must outlive its use
+    void set_guidance(Guidance guidance) { caller_.push(std::move(guidance)); }
+    std::vector<ServerInfo> listed() const;                       // sets id, phase and online_since
+    std::optional<tcp::endpoint> endpoint_of(ServerId id) const;  // none: not listed
     std::vector<ServerId> removed() const { return caller_.balancer().removed(); }
     void limit_connections(std::size_t most) { upstream_.limit_connections(most); }
 
@@ -58,9 +58,9 @@
     void answer_all() { caller_.answer_all(); }
 
     // Called by discovery and by other sidecars. `saved`: the list comes from the configuration.
-    void told(const HostList& list, bool saved = false);
+    void apply_list(const HostList& list, bool saved = false);
     void list_failed();
-    void peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes);
+    void on_peer_message(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
     bool holds_list() const { return holds_list_; }
     std::size_t unanswered() const { return caller_.unanswered(); }
@@ -84,7 +84,7 @@
     using Response = HttpResponse;
     using ClientPtr = std::weak_ptr<Client>;
     using Endpoint = tcp::endpoint;
-    using Story = cobaltshift::Story;
+    using RequestContext = cobaltshift::RequestContext;
 
     Millis now() const { return clock_.now(); }
     void post_pump();
@@ -99,18 +99,20 @@
     void retire(ServerId id) { upstream_.retire(id); }
     void close_idle(ServerId id) { upstream_.close_idle(id); }
     void probe(ServerId id, const Endpoint& to) { upstream_.probe(id, to); }
-    RequestArrived classify(const RequestPtr& message, Story& story) {
-        return dialect_.classify(*message, story);
+    RequestArrived classify(const RequestPtr& message, RequestContext& request_context) {
+        return dialect_.classify(*message, request_context);
     }
-    bool may_send(const RequestPtr& message, Story& story, const std::string& server) {
-        return dialect_.may_send(*message, story, server);
+    bool may_send(const RequestPtr& message, RequestContext& request_context, const std::string& server) {
+        return dialect_.may_send(*message, request_context, server);
     }
-    AttemptResult read(Outcome outcome, const Response* response, Story& story) {
-        return dialect_.read(outcome, response, story);
+    AttemptResult read(Outcome outcome, const Response* response, RequestContext& request_context) {
+        return dialect_.read(outcome, response, request_context);
     }
     void answer(const ClientPtr& client, Response&& response, bool own);
-    Response refusal(Story& story, Millis retry_in) { return dialect_.refusal(story, retry_in); }
-    Response failure(Story& story) { return dialect_.failure(story); }
+    Response refusal(RequestContext& request_context, Millis retry_in) {
+        return dialect_.refusal(request_context, retry_in);
+    }
+    Response failure(RequestContext& request_context) { return dialect_.failure(request_context); }
     ZoneId zone_number(const std::string& zone) { return config_.zone(zone); }
     void carry_out(const SendToPeer& action);
     void carry_out(const Subscribe& action);
--- a/src/net/sidecar_front.cpp
+++ b/src/net/sidecar_front.cpp
@@ -25,7 +25,7 @@
     return HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11);
 }
 
-std::string SidecarFront::name_of(const HttpRequest& request) const {
+std::string SidecarFront::request_id_of(const HttpRequest& request) const {
     return std::string(request["X-Correlation-Id"]);
 }
 
--- a/src/net/sidecar_front.hpp
+++ b/src/net/sidecar_front.hpp
@@ -15,7 +15,7 @@
 
     std::optional<http::status> fault(const HttpRequest& head) override;
     std::optional<HttpResponse> local(const HttpRequest& request) override;
-    std::string name_of(const HttpRequest& request) const override;
+    std::string request_id_of(const HttpRequest& request) const override;
     RequestId arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) override;
     void client_gone(RequestId id) override { sidecar_.client_gone(id); }
 
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -37,28 +37,28 @@
 }
 }  // namespace
 
-UpstreamManner UpstreamManner::platform() {
-    UpstreamManner manner;
-    manner.stamp = [](HttpRequest& message, Millis left) {
+UpstreamProtocol UpstreamProtocol::platform() {
+    UpstreamProtocol upstream_protocol;
+    upstream_protocol.prepare_request = [](HttpRequest& message, Millis left) {
         // In microseconds: whole milliseconds would round a short time to 0.
         message.set("X-Time-Left", std::to_string(static_cast<long long>(left * 1000)) + "u");
     };
-    manner.judge = [](const HttpResponse& response) {
+    upstream_protocol.outcome_of = [](const HttpResponse& response) {
         const unsigned status = response.result_int();
         if (status == 200) return Outcome::completed;
         if ((status == 503 || status == 504) && response["X-Unprocessed"] == "1") return Outcome::saturated;
         return Outcome::errored;
     };
-    return manner;
+    return upstream_protocol;
 }
 
 Upstream::Upstream(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers,
-                   UpstreamManner manner)
+                   UpstreamProtocol upstream_protocol)
     : io_(io),
       clock_(clock),
-      dead_after_(limits.dead_after),
+      dead_peer_timeout_(limits.dead_peer_timeout),
       handlers_(std::move(handlers)),
-      manner_(std::move(manner)),
+      protocol_(std::move(upstream_protocol)),
       pool_(*this, limits) {}
 
 Upstream::~Upstream() = default;
@@ -71,7 +71,7 @@
 }
 
 void Upstream::probe(ServerId server, const tcp::endpoint& to) {
-    auto request = std::make_shared<HttpRequest>(http::verb::get, manner_.probe_path, 11);
+    auto request = std::make_shared<HttpRequest>(http::verb::get, protocol_.probe_path, 11);
     request->set(http::field::host, to.address().to_string());
     pool_.probe(server, to, std::move(request));
 }
@@ -101,7 +101,7 @@
     if (!ec) socket.set_option(tcp::no_delay(true), ec);
     if (!ec) socket.non_blocking(true, ec);
     if (!ec) socket.set_option(asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ec);
-    if (!ec && dead_after_ > 0) enable_dead_peer_detection(socket, dead_after_);
+    if (!ec && dead_peer_timeout_ > 0) enable_dead_peer_detection(socket, dead_peer_timeout_);
     if (ec) return pool_.connected(connection, false);
     socket.async_connect(connection->to,
                          [this, connection](error_code error) { pool_.connected(connection, !error); });
@@ -111,7 +111,7 @@
     Pool::Job& job = *connection->job;
     Channel& channel = connection->channel;
     HttpRequest& message = *job.request;
-    if (!job.probe) manner_.stamp(message, std::max(0.0, job.until - clock_.now()));
+    if (!job.probe) protocol_.prepare_request(message, std::max(0.0, job.until - clock_.now()));
     channel.output.clear();
     channel.output_written = 0;
     http::request_serializer<http::string_body> serializer(message);
@@ -148,7 +148,7 @@
     Channel& channel = connection->channel;
     channel.parser.emplace();
     channel.parser->header_limit(kMaxHeader);
-    channel.parser->body_limit(manner_.body_bytes);
+    channel.parser->body_limit(protocol_.body_bytes);
     channel.parser->eager(false);
     channel.head_bytes = 0;
     parse(connection);
@@ -213,11 +213,11 @@
 // ---- Protocol ---------------------------------------------------------------------------------------------
 
 bool Upstream::is_stray(const Connection& connection, const HttpResponse& response) const {
-    return manner_.stray && manner_.stray(*connection.job->request, response);
+    return protocol_.is_stray && protocol_.is_stray(*connection.job->request, response);
 }
 
 Millis Upstream::keep_alive_time(const HttpResponse& response) const {
-    return manner_.heeds_keep_alive ? keep_alive_timeout_ms(response) : 0;
+    return protocol_.honors_keep_alive ? keep_alive_timeout_ms(response) : 0;
 }
 
 }  // namespace cobaltshift
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -18,19 +18,19 @@
 
 // What a protocol on these connections adds to HTTP/1.1. The functions are called on the event loop and must
 // not keep state.
-struct UpstreamManner {
+struct UpstreamProtocol {
     // Called just before a request is written: sets the remaining time `left` (ms) and other per-hop headers.
-    std::function<void(HttpRequest&, Millis left)> stamp;
+    std::function<void(HttpRequest&, Millis left)> prepare_request;
     // The outcome that a complete answer stands for.
-    std::function<Outcome(const HttpResponse&)> judge;
+    std::function<Outcome(const HttpResponse&)> outcome_of;
     // Whether the answer belongs to another request. One such answer is skipped, and the connection is not
     // reused afterwards. May be empty.
-    std::function<bool(const HttpRequest&, const HttpResponse&)> stray;
+    std::function<bool(const HttpRequest&, const HttpResponse&)> is_stray;
     std::uint64_t body_bytes = kMaxBody;  // limit for one answer; a longer one counts as broken
     std::string probe_path = "/healthz";
     // Whether the timeout in a server's Keep-Alive header bounds how long an idle connection is kept.
-    bool heeds_keep_alive = false;
-    static UpstreamManner platform();  // X-Time-Left and X-Unprocessed
+    bool honors_keep_alive = false;
+    static UpstreamProtocol platform();  // X-Time-Left and X-Unprocessed
 };
 
 // Must not be destroyed while the event loop runs.
@@ -39,7 +39,7 @@
     struct Limits : exchange::Limits {
         // A connection breaks if its peer has acknowledged neither data nor keep-alive probes for this many
         // ms; 0: never.
-        Millis dead_after = 0;
+        Millis dead_peer_timeout = 0;
     };
     // May be called from within send(), cancel() and the other methods; handlers must only record the event.
     struct Handlers {
@@ -48,7 +48,7 @@
     };
 
     Upstream(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers,
-             UpstreamManner manner = UpstreamManner::platform());
+             UpstreamProtocol upstream_protocol = UpstreamProtocol::platform());
     ~Upstream();
 
     void send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request, Millis until);
@@ -92,7 +92,7 @@
     void cancel_timer(Connection& connection);
     void close(Connection& connection);
     bool is_stray(const Connection& connection, const HttpResponse& response) const;
-    Outcome judge(const HttpResponse& response) const { return manner_.judge(response); }
+    Outcome judge(const HttpResponse& response) const { return protocol_.outcome_of(response); }
     Millis keep_alive_time(const HttpResponse& response) const;
     void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
         handlers_.attempt_ended(key, outcome, response);
@@ -107,9 +107,9 @@
 
     asio::io_context& io_;
     const Clock& clock_;
-    const Millis dead_after_;
+    const Millis dead_peer_timeout_;
     Handlers handlers_;
-    UpstreamManner manner_;
+    UpstreamProtocol protocol_;
     Pool pool_;
 };
 
--- a/src/plan_io/advised.cpp
+++ b/src/plan_io/advised.cpp
@@ -26,12 +26,12 @@
                    return follower_.holds(planner, clock_.now()) ? follower_.seen()[planner] : PlanId{};
                }}) {
     meter_.listed(sidecar_.listed(), true);
-    sidecar_.observe(this);
+    sidecar_.set_observer(this);
 }
 
 Advised::~Advised() {
-    sidecar_.observe(nullptr);
-    if (guided_) sidecar_.guide({});
+    sidecar_.set_observer(nullptr);
+    if (guided_) sidecar_.set_guidance({});
 }
 
 void Advised::listed(const std::vector<kelplb::ServerInfo>& servers, bool whole) {
@@ -58,7 +58,7 @@
     removed_.clear();
     for (const auto& server : guidance.servers)
         if (server.removed) removed_.insert(server.server);
-    sidecar_.guide(std::move(guidance));
+    sidecar_.set_guidance(std::move(guidance));
     const auto next = follower_.next_end(now);
     if (!next) return;
     expiry_.expires_at(clock_.point(*next));
--- a/src/plan_io/planner_node.cpp
+++ b/src/plan_io/planner_node.cpp
@@ -55,7 +55,7 @@
         }
         infos.push_back({at->second, 0, host.cell, host.phase, host.born, host.units});
     }
-    planner_.listed(clock_.now(), infos, list.whole);
+    planner_.listed(clock_.now(), infos, list.is_full);
     // Drop the names of servers that are gone, so that names_ does not grow without bound.
     std::set<ServerId> gone;
     for (const auto& info : infos)
@@ -63,7 +63,7 @@
     std::set<ServerId> named;
     for (const auto& info : infos) named.insert(info.id);
     std::erase_if(names_, [&](const auto& at) {
-        return gone.count(at.second) || (list.whole && !named.count(at.second));
+        return gone.count(at.second) || (list.is_full && !named.count(at.second));
     });
     if (state_) planner_.recall(clock_.now(), state_->removed);
     state_.reset();
--- a/src/probing_io/shared_probing.cpp
+++ b/src/probing_io/shared_probing.cpp
@@ -132,7 +132,7 @@
     for (const std::uint32_t shard : output.want) rights_.want(task_of(shard), settings_.length, true);
     for (const std::uint32_t shard : output.give_up) rights_.give_up(task_of(shard));
     for (const ServerId server : output.probe) {
-        const auto at = sidecar_.dial_of(server);
+        const auto at = sidecar_.endpoint_of(server);
         // The last look before the act: the clock, once more.
         const auto right = rights_.right(task_of(shard_of(server, settings_.core.shards)));
         if (!at || !right || right->until < own_clock() + settings_.core.probe) {
@@ -146,7 +146,7 @@
         std::vector<std::uint8_t> rumour;
         for (int shift = 24; shift >= 0; shift -= 8)
             rumour.push_back(static_cast<std::uint8_t>(server >> shift));
-        sidecar_.peer_said(sidecar_.config().settings.sidecar_index, std::move(rumour));
+        sidecar_.on_peer_message(sidecar_.config().settings.sidecar_index, std::move(rumour));
     }
 }
 
--- a/src/programs/control.cpp
+++ b/src/programs/control.cpp
@@ -120,7 +120,7 @@
             throw boot::BootError(file +
                                   ": data_dir: is missing: a control node stores the configuration on disk");
         if (absl::GetFlag(FLAGS_check)) return 0;
-        log_as(LogFormat::numbered);
+        set_log_format(LogFormat::numbered);
         std::signal(SIGPIPE, SIG_IGN);
         ControlProgram program(io, std::move(settings));
         signals->async_wait([&](error_code ec, int) {
--- a/src/programs/proxy.cpp
+++ b/src/programs/proxy.cpp
@@ -57,7 +57,7 @@
         static auto* const signals = new asio::signal_set(io, SIGTERM, SIGINT, SIGHUP);
         boot::Boot settings = boot::read_boot(file);
         if (absl::GetFlag(FLAGS_check)) return 0;
-        log_as(LogFormat::numbered);
+        set_log_format(LogFormat::numbered);
         std::signal(SIGPIPE, SIG_IGN);
         std::random_device device;
         const std::uint64_t seed = (std::uint64_t{device()} << 32) | device();
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -23,17 +23,17 @@
     return std::min(arrived_at + kUrgentAfterTargets * hop.target_ms, deadline - kUrgentBeforeDeadlineMs);
 }
 
-UpstreamManner manner() {
-    UpstreamManner m;
-    m.stamp = [](HttpRequest& message, Millis left) {
+UpstreamProtocol upstream_protocol() {
+    UpstreamProtocol m;
+    m.prepare_request = [](HttpRequest& message, Millis left) {
         message.set(kDeadline, std::to_string(static_cast<long long>(std::max(1.0, left - kAnswerMarginMs))));
     };
-    m.judge = [](const HttpResponse& response) {
+    m.outcome_of = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
-    m.stray = answers_another;
+    m.is_stray = answers_another;
     m.body_bytes = kMaxBodyBytes;
-    m.heeds_keep_alive = true;
+    m.honors_keep_alive = true;
     return m;
 }
 }  // namespace
@@ -52,7 +52,7 @@
                      ended(key.id, outcome, response);
                  },
                  [](ServerId, Outcome, Millis) {}},
-                manner()),
+                upstream_protocol()),
       timer_(io) {}
 
 bool Inbound::on_heartbeat(const std::string& instance_id, std::uint32_t capacity, bool closing,
@@ -139,7 +139,7 @@
 
 std::optional<admission::LinkState> Inbound::link_state() const {
     if (!link_) return {};
-    return admission::LinkState{link_->backlog(), link_->bytes_per_ms(), link_->long_from()};
+    return admission::LinkState{link_->backlog(), link_->bytes_per_ms(), link_->long_answer_bytes()};
 }
 
 void Inbound::begin(admission::Ticket ticket, Millis until) {
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -45,8 +45,8 @@
     Bounds bounds() const override;
     std::optional<http::status> fault(const HttpRequest& head) override;
     std::optional<HttpResponse> local(const HttpRequest&) override { return {}; }
-    std::string name_of(const HttpRequest&) const override { return {}; }
-    std::string log_name_of(const HttpRequest& request) const override {
+    std::string request_id_of(const HttpRequest&) const override { return {}; }
+    std::string log_name(const HttpRequest& request) const override {
         return std::string(request[kRequestId]);
     }
     RequestId arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) override;
--- a/src/proxy/mesh_dialect.cpp
+++ b/src/proxy/mesh_dialect.cpp
@@ -7,7 +7,9 @@
 namespace {
 constexpr std::uint64_t kMaxAnswerBytes = 64 << 20;
 
-RequestHistory& history_of(Story& story) { return std::any_cast<RequestHistory&>(story.mark); }
+RequestHistory& history_of(RequestContext& request_context) {
+    return std::any_cast<RequestHistory&>(request_context.mark);
+}
 
 hop::AttemptEnd attempt_end(Outcome outcome, const HttpResponse* response) {
     if (!response) return hop::NoAnswer{outcome};
@@ -16,33 +18,33 @@
 }
 }  // namespace
 
-UpstreamManner MeshDialect::manner() {
-    UpstreamManner m;
-    m.stamp = [](HttpRequest& message, Millis left) {
+UpstreamProtocol MeshDialect::upstream_protocol() {
+    UpstreamProtocol m;
+    m.prepare_request = [](HttpRequest& message, Millis left) {
         message.set(kDeadline, std::to_string(static_cast<long long>(left)));
     };
-    m.judge = [](const HttpResponse& response) {
+    m.outcome_of = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
     // Checked again on the caller side: even if the proxy beside the server mixes up answers, none reaches
     // another request.
-    m.stray = [](const HttpRequest& request, const HttpResponse& response) {
+    m.is_stray = [](const HttpRequest& request, const HttpResponse& response) {
         return response[kVerdict] == "ran" && answers_another(request, response);
     };
     m.body_bytes = kMaxAnswerBytes;
     return m;
 }
 
-RequestArrived MeshDialect::classify(const HttpRequest& message, Story& story) {
+RequestArrived MeshDialect::classify(const HttpRequest& message, RequestContext& request_context) {
     RequestHistory history;
     history.hop = parse_hop(message[kHop]).value_or(Hop());
     const RequestArrived event = rules_.classify(dependencies_.clock.now(), history);
-    story.mark = std::move(history);
+    request_context.mark = std::move(history);
     return event;
 }
 
-bool MeshDialect::may_send(HttpRequest& message, Story& story, const std::string& server) {
-    RequestHistory& history = history_of(story);
+bool MeshDialect::may_send(HttpRequest& message, RequestContext& request_context, const std::string& server) {
+    RequestHistory& history = history_of(request_context);
     if (!rules_.may_send(dependencies_.clock.now(), dependencies_.live_proxies(), server, history))
         return false;
     history.hop.edition = dependencies_.edition();
@@ -51,38 +53,39 @@
     return true;
 }
 
-AttemptResult MeshDialect::read(Outcome outcome, const HttpResponse* response, Story& story) {
-    RequestHistory& history = history_of(story);
+AttemptResult MeshDialect::read(Outcome outcome, const HttpResponse* response,
+                                RequestContext& request_context) {
+    RequestHistory& history = history_of(request_context);
     if (response)
         if (const auto edition = (*response)[kEdition]; !edition.empty())
             dependencies_.on_peer_edition(history.server,
                                           static_cast<std::uint64_t>(parse_ms(edition).value_or(0)));
     const hop::HopAttemptResult result = rules_.read(attempt_end(outcome, response), history);
     if (result.avoid_server) dependencies_.avoid(history.server);
-    if (result.keep_answer) story.last = *response;
+    if (result.keep_answer) request_context.last = *response;
     return result.attempt;
 }
 
-void MeshDialect::tidy(HttpResponse& response) {
+void MeshDialect::strip_internal_headers(HttpResponse& response) {
     response.erase(kVerdict);
     response.erase(kEdition);
 }
 
-HttpResponse MeshDialect::refusal(Story& story, Millis retry_in) {
-    const auto proof = hop::AttemptRules::proof(history_of(story));
-    if (!proof) return failure(story);
+HttpResponse MeshDialect::refusal(RequestContext& request_context, Millis retry_in) {
+    const auto proof = hop::AttemptRules::proof(history_of(request_context));
+    if (!proof) return failure(request_context);
     rules_.count_refused();
     return proxy::refusal(*proof, hop::AttemptRules::retry_in(retry_in));
 }
 
-HttpResponse MeshDialect::failure(Story& story) {
+HttpResponse MeshDialect::failure(RequestContext& request_context) {
     rules_.count_failed();
-    if (story.last) {
-        strip_hop_by_hop(*story.last);
-        tidy(*story.last);
-        return std::move(*story.last);
+    if (request_context.last) {
+        strip_hop_by_hop(*request_context.last);
+        strip_internal_headers(*request_context.last);
+        return std::move(*request_context.last);
     }
-    return proxy::failure(history_of(story).reason);
+    return proxy::failure(history_of(request_context).reason);
 }
 
 }  // namespace cobaltshift::proxy
--- a/src/proxy/mesh_dialect.hpp
+++ b/src/proxy/mesh_dialect.hpp
@@ -26,13 +26,14 @@
     MeshDialect(Dependencies dependencies, admission::RetryBudget::Settings budget)
         : dependencies_(std::move(dependencies)), rules_(budget) {}
 
-    UpstreamManner manner() override;
-    RequestArrived classify(const HttpRequest& message, Story& story) override;
-    bool may_send(HttpRequest& message, Story& story, const std::string& server) override;
-    AttemptResult read(Outcome outcome, const HttpResponse* response, Story& story) override;
-    void tidy(HttpResponse& response) override;
-    HttpResponse refusal(Story& story, Millis retry_in) override;
-    HttpResponse failure(Story& story) override;
+    UpstreamProtocol upstream_protocol() override;
+    RequestArrived classify(const HttpRequest& message, RequestContext& request_context) override;
+    bool may_send(HttpRequest& message, RequestContext& request_context, const std::string& server) override;
+    AttemptResult read(Outcome outcome, const HttpResponse* response,
+                       RequestContext& request_context) override;
+    void strip_internal_headers(HttpResponse& response) override;
+    HttpResponse refusal(RequestContext& request_context, Millis retry_in) override;
+    HttpResponse failure(RequestContext& request_context) override;
 
     const hop::AttemptRules::Counts& counts() const { return rules_.counts(); }
 
--- a/src/proxy/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -62,7 +62,7 @@
             static_cast<std::size_t>(static_cast<double>(outbound.boot_.file_limit) * kConnectionShare) /
                 services);
         limits.reuse_delay = 0;
-        limits.dead_after = kDeadAfterMs;
+        limits.dead_peer_timeout = kDeadAfterMs;
         sidecar = std::make_unique<Sidecar>(outbound.io_, outbound.clock_, config, limits, dialect);
         sidecar->start();
     }
@@ -173,10 +173,10 @@
     const auto lists = directory_.list(clock_.now(), callbacks_.visit_proxies);
     for (auto& [service, service_client] : clients_) {
         HostList list;
-        list.whole = true;
+        list.is_full = true;
         if (const auto at = lists.by_service.find(service); at != lists.by_service.end())
             for (const routing::ListedServer& server : at->second) list.hosts.push_back(host_of(server));
-        service_client->sidecar->told(list);
+        service_client->sidecar->apply_list(list);
     }
     if (lists.first_avoid_expiry == 0) return;
     avoid_timer_.expires_at(clock_.point(lists.first_avoid_expiry));
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -41,12 +41,12 @@
     log_line("GD010 request cut",
              std::string("the process exits with ") + whose + " request unanswered: " + stage + " " +
                  request.name + " for " + std::to_string(static_cast<long>(request.age)) + " ms, " +
-                 std::to_string(request.answer_left) + " bytes left",
+                 std::to_string(request.unsent_bytes) + " bytes left",
              {{"whose", whose},
               {"stage", stage},
               {"request", request.name},
               {"age_ms", request.age},
-              {"answer_left", static_cast<std::uint64_t>(request.answer_left)}});
+              {"answer_left", static_cast<std::uint64_t>(request.unsent_bytes)}});
 }
 
 Listener::Limits limits(const boot::Boot& boot, double share) {
@@ -289,7 +289,7 @@
 
 void Proxy::log_link_waits() {
     if (!link_) return;
-    const PacedLink::Waits waits = link_->take_waits();
+    const PacedLink::WaitStats waits = link_->take_wait_stats();
     if (waits.answers == 0) return;
     log_line("GD012 link",
              std::to_string(waits.answers) + " long answers sent over the link; the slowest, of " +
--- a/src/settings_file/section.hpp
+++ b/src/settings_file/section.hpp
@@ -101,7 +101,7 @@
         return all;
     }
     // Throws an error about `key`; `what` follows its name in the message.
-    [[noreturn]] void wrong(const char* key, const std::string& what) {
+    [[noreturn]] void fail_key(const char* key, const std::string& what) {
         const toml::node* node = find(key);
         if (!node) throw SettingsError(file_ + ": " + qualified(key) + " " + what);
         fail(*node, key, what);
@@ -114,7 +114,7 @@
     }
     bool has(const char* key) { return find(key) != nullptr; }
     // Throws if the key is missing.
-    void need(const char* key) {
+    void require(const char* key) {
         if (!find(key)) throw SettingsError(file_ + ": " + qualified(key) + " is missing");
     }
     // The table [key]; empty if it is missing.
@@ -126,7 +126,7 @@
         return {*node->as_table(), key, file_};
     }
     // Throws if the table has a key that was not asked for.
-    void done() const {
+    void reject_unknown_keys() const {
         for (const auto& [key, node] : table_)
             if (!known_.count(std::string(key.str()))) fail(node, std::string(key.str()), "is not known");
     }
--- a/src/sim_mesh/pool.cpp
+++ b/src/sim_mesh/pool.cpp
@@ -86,46 +86,46 @@
     });
 }
 
-RequestArrived Pool::classify(const RequestPtr& message, Story& story) {
-    story.history.hop = message->hop;
-    if (!world_.safeguards.registered_once) story.history.hop.kind = config::RouteKind::plain;
-    if (!world_.safeguards.budget) story.history.hop.tries = kNoMostTries;
-    return rules_.classify(now(), story.history);
+RequestArrived Pool::classify(const RequestPtr& message, RequestContext& request_context) {
+    request_context.history.hop = message->hop;
+    if (!world_.safeguards.registered_once) request_context.history.hop.kind = config::RouteKind::plain;
+    if (!world_.safeguards.budget) request_context.history.hop.tries = kNoMostTries;
+    return rules_.classify(now(), request_context.history);
 }
 
-bool Pool::may_send(const RequestPtr& message, Story& story, const std::string& server) {
-    if (!rules_.may_send(now(), owner_.live_proxies(), server, story.history)) return false;
-    message->hop.may_wait = story.history.hop.may_wait;
+bool Pool::may_send(const RequestPtr& message, RequestContext& request_context, const std::string& server) {
+    if (!rules_.may_send(now(), owner_.live_proxies(), server, request_context.history)) return false;
+    message->hop.may_wait = request_context.history.hop.may_wait;
     message->hop.edition = owner_.edition();
     message->expected = server;
     return true;
 }
 
-caller::AttemptResult Pool::read(Outcome outcome, const HopAnswer* answer, Story& story) {
+caller::AttemptResult Pool::read(Outcome outcome, const HopAnswer* answer, RequestContext& request_context) {
     hop::AttemptEnd end = hop::NoAnswer{outcome};
-    if (answer && answer->edition > 0) owner_.newer(story.history.server, answer->edition);
+    if (answer && answer->edition > 0) owner_.newer(request_context.history.server, answer->edition);
     if (answer && answer->failure) end = *answer->failure;
     if (answer && !answer->failure) end = hop::ServerAnswered{answer->answer.status};
-    const hop::HopAttemptResult said = rules_.read(end, story.history);
-    if (said.avoid_server) owner_.avoid(story.history.server);
-    if (said.keep_answer) story.last = *answer;
+    const hop::HopAttemptResult said = rules_.read(end, request_context.history);
+    if (said.avoid_server) owner_.avoid(request_context.history.server);
+    if (said.keep_answer) request_context.last = *answer;
     return said.attempt;
 }
 
 void Pool::answer(const Answered& client, HopAnswer&& answer, bool) { client(answer.answer); }
 
-HopAnswer Pool::refusal(Story& story, Millis retry_in) {
-    const bool proved = hop::AttemptRules::proof(story.history).has_value();
-    if (!proved && world_.safeguards.proof_of_refusal) return failure(story);
+HopAnswer Pool::refusal(RequestContext& request_context, Millis retry_in) {
+    const bool proved = hop::AttemptRules::proof(request_context.history).has_value();
+    if (!proved && world_.safeguards.proof_of_refusal) return failure(request_context);
     HopAnswer answer;
     answer.answer = {503, {}, hop::AttemptRules::retry_in(retry_in), false};
     return answer;
 }
 
-HopAnswer Pool::failure(Story& story) {
-    if (story.last) return *story.last;
+HopAnswer Pool::failure(RequestContext& request_context) {
+    if (request_context.last) return *request_context.last;
     HopAnswer answer;
-    const unsigned status = hop::AttemptRules::failure_status(story.history.reason);
+    const unsigned status = hop::AttemptRules::failure_status(request_context.history.reason);
     answer.answer = {world_.safeguards.proof_of_refusal ? status : 503, {}, 0, false};
     return answer;
 }
--- a/src/sim_mesh/pool.hpp
+++ b/src/sim_mesh/pool.hpp
@@ -33,7 +33,7 @@
     using Response = HopAnswer;
     using ClientPtr = Answered;
     using Endpoint = Ip;
-    struct Story {
+    struct RequestContext {
         hop::RequestHistory history;
         std::optional<HopAnswer> last;  // a server's own failure, kept
     };
@@ -60,12 +60,12 @@
     void retire(ServerId id) { connections_.pool().retire(id); }
     void close_idle(ServerId id) { connections_.pool().close_idle(id); }
     void probe(ServerId id, Ip to) { connections_.pool().probe(id, to, std::make_shared<HopMessage>()); }
-    RequestArrived classify(const RequestPtr& message, Story& story);
-    bool may_send(const RequestPtr& message, Story& story, const std::string& server);
-    caller::AttemptResult read(Outcome outcome, const HopAnswer* answer, Story& story);
+    RequestArrived classify(const RequestPtr& message, RequestContext& request_context);
+    bool may_send(const RequestPtr& message, RequestContext& request_context, const std::string& server);
+    caller::AttemptResult read(Outcome outcome, const HopAnswer* answer, RequestContext& request_context);
     void answer(const Answered& client, HopAnswer&& answer, bool own);
-    HopAnswer refusal(Story& story, Millis retry_in);
-    HopAnswer failure(Story& story);
+    HopAnswer refusal(RequestContext& request_context, Millis retry_in);
+    HopAnswer failure(RequestContext& request_context);
     ZoneId zone_number(const std::string& zone) const;
     template <class Action>
     void carry_out(const Action&) {}  // no peers, no discovery
--- a/src/site_cli.cpp
+++ b/src/site_cli.cpp
@@ -56,7 +56,7 @@
 int SiteCli::run() {
     if (check_->parsed()) return check();
     settings_ = load_settings(settings_file_);
-    log_as(settings_.log);
+    set_log_format(settings_.log);
     if (settings_.keepers.keepers.empty())
         throw SettingsError(settings_file_ + ": keepers.addresses is missing");
     if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
--- a/src/site_io/lead_node.cpp
+++ b/src/site_io/lead_node.cpp
@@ -87,7 +87,7 @@
 }
 
 void LeadNode::told(const HostList& list) {
-    if (list.whole) servers_.clear();
+    if (list.is_full) servers_.clear();
     std::set<kelplb::ServerId> taken;
     for (const auto& [name, server] : servers_) taken.insert(server.first);
     for (const Host& host : list.hosts) {
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -55,9 +55,9 @@
 TEST(Log, LinesAreTextOrOneJsonObjectForAnyInput) {
     testing::internal::CaptureStderr();
     log_line("a.b", "it \x01 happened\n", {{"n", std::uint64_t{3}}});
-    log_as(LogFormat::json);
+    set_log_format(LogFormat::json);
     log_line("a.b", "it \"happened\" \xff", {{"n", std::uint64_t{3}}, {"why", std::string(500, 'x')}});
-    log_as(LogFormat::text);
+    set_log_format(LogFormat::text);
     std::istringstream lines(testing::internal::GetCapturedStderr());
     std::string first, second;
     std::getline(lines, first), std::getline(lines, second);
--- a/tests/mesh/hop_test.cpp
+++ b/tests/mesh/hop_test.cpp
@@ -234,12 +234,12 @@
                          [](const std::string&) {}, [](const std::string&, std::uint64_t) {}},
                         {}};
     HttpRequest message;
-    Story story;
+    RequestContext request_context;
     explicit Caller(const char* hop) {
         message.set(kHop, hop);
-        dialect.classify(message, story);
+        dialect.classify(message, request_context);
     }
-    bool send() { return dialect.may_send(message, story, "i-1"); }
+    bool send() { return dialect.may_send(message, request_context, "i-1"); }
 };
 
 }  // namespace
@@ -253,9 +253,9 @@
             CAPTURE(static_cast<int>(outcome));
             Caller caller(hop);
             REQUIRE(caller.send());
-            caller.dialect.read(outcome, nullptr, caller.story);
+            caller.dialect.read(outcome, nullptr, caller.request_context);
             CHECK(caller.send() == (hop[0] == 'p'));
-            const HttpResponse said = caller.dialect.refusal(caller.story, 100);
+            const HttpResponse said = caller.dialect.refusal(caller.request_context, 100);
             CHECK_FALSE(promises(said.result_int()));
             CHECK(said.result_int() / 100 == 5);
         }
@@ -265,9 +265,9 @@
     Caller caller("r;0;500;3;0;1");
     REQUIRE(caller.send());
     const HttpResponse answer = proxy_answer({Execution::not_run, Reason::repeated});
-    caller.dialect.read(Outcome::errored, &answer, caller.story);
+    caller.dialect.read(Outcome::errored, &answer, caller.request_context);
     CHECK_FALSE(caller.send());
-    CHECK_FALSE(promises(caller.dialect.refusal(caller.story, 100).result_int()));
+    CHECK_FALSE(promises(caller.dialect.refusal(caller.request_context, 100).result_int()));
 }
 
 TEST_CASE(
@@ -276,11 +276,11 @@
     for (int i = 0; i < 20; ++i) {
         REQUIRE(caller.send());
         const HttpResponse answer = proxy_answer({Execution::not_run, Reason::full});
-        const AttemptResult reading = caller.dialect.read(Outcome::errored, &answer, caller.story);
+        const AttemptResult reading = caller.dialect.read(Outcome::errored, &answer, caller.request_context);
         CHECK_FALSE(reading.final);
         CHECK_FALSE(reading.reached_server);
     }
-    const HttpResponse said = caller.dialect.refusal(caller.story, 100);
+    const HttpResponse said = caller.dialect.refusal(caller.request_context, 100);
     CHECK(said.result_int() == 503);
     CHECK_FALSE(said[http::field::retry_after].empty());
 }
@@ -289,11 +289,11 @@
     Caller caller("r;0;500;2;0;1");
     REQUIRE(caller.send());
     const HttpResponse answer = proxy_answer({Execution::not_run, Reason::turned_away});
-    caller.dialect.read(Outcome::errored, &answer, caller.story);
+    caller.dialect.read(Outcome::errored, &answer, caller.request_context);
     REQUIRE(caller.send());
-    caller.dialect.read(Outcome::errored, &answer, caller.story);
+    caller.dialect.read(Outcome::errored, &answer, caller.request_context);
     CHECK_FALSE(caller.send());
-    CHECK(caller.dialect.refusal(caller.story, 100).result_int() == 503);
+    CHECK(caller.dialect.refusal(caller.request_context, 100).result_int() == 503);
 }
 
 // ---- The server side: Inbound and an application server --------------------------------------------------
--- a/tests/mesh/incident_lost_link_test.cpp
+++ b/tests/mesh/incident_lost_link_test.cpp
@@ -52,8 +52,8 @@
     static SendScheduler::Settings settings() {
         SendScheduler::Settings s;
         s.bytes_per_ms = kBytesPerMs;
-        s.ahead = kPieceMs;
-        s.piece = s.long_from = static_cast<std::size_t>(kBytesPerMs * kPieceMs);
+        s.max_lead = kPieceMs;
+        s.piece_bytes = s.long_answer_bytes = static_cast<std::size_t>(kBytesPerMs * kPieceMs);
         return s;
     }
     void at(Millis when, std::function<void()> task) {
@@ -79,7 +79,7 @@
         arrival.deadline = now_ + kDeadlineMs;
         requests_.arrived(
             now_, ticket, arrival,
-            admission::LinkState{scheduler_.backlog(now_), kBytesPerMs, scheduler_.long_from()});
+            admission::LinkState{scheduler_.backlog(now_), kBytesPerMs, scheduler_.long_answer_bytes()});
         const Millis gap = kMeanBytes / kBytesPerMs / offered_;
         at(now_ - gap * std::log(1 - random_.unit()), [this] { arrive(); });
     }
@@ -91,7 +91,7 @@
         const auto bytes = static_cast<std::size_t>(random_answer_bytes());
         requests_.ended(now_, ticket, {{}, true, bytes});
         if (!scheduler_.is_long(bytes)) {
-            scheduler_.sent(now_, bytes);
+            scheduler_.record_sent(now_, bytes);
             return written(ticket, static_cast<double>(bytes));
         }
         writing_[scheduler_.add(bytes, arrived_at_.at(ticket) + kUrgentAfterTargets * kTargetMs)] = {
@@ -100,7 +100,7 @@
     // As PacedLink does it, with a kernel that accepts each piece at once.
     void write() {
         while (const auto grant = scheduler_.next(now_)) {
-            if (!scheduler_.finished(grant->id)) continue;
+            if (!scheduler_.on_piece_written(grant->id)) continue;
             const auto done = writing_.extract(grant->id);
             written(done.mapped().first, done.mapped().second);
         }
--- a/tests/mesh/paced_listener_test.cpp
+++ b/tests/mesh/paced_listener_test.cpp
@@ -22,7 +22,7 @@
     explicit BatchFront(std::size_t count) : count_(count) {}
     std::optional<http::status> fault(const HttpRequest&) override { return {}; }
     std::optional<HttpResponse> local(const HttpRequest&) override { return {}; }
-    std::string name_of(const HttpRequest&) const override { return {}; }
+    std::string request_id_of(const HttpRequest&) const override { return {}; }
     RequestId arrived(RequestPtr request, Millis, std::weak_ptr<Client> client) override {
         waiting_.emplace_back(std::stod(std::string(request->target().substr(1))), std::move(client));
         if (waiting_.size() < count_) return waiting_.size();
--- a/tests/mesh/send_scheduler_test.cpp
+++ b/tests/mesh/send_scheduler_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 SendScheduler::Settings settings() {
-    return {.bytes_per_ms = 100, .long_from = 1000, .piece = 1000, .ahead = 10};
+    return {.bytes_per_ms = 100, .long_answer_bytes = 1000, .piece_bytes = 1000, .max_lead = 10};
 }
 }  // namespace
 
@@ -22,7 +22,7 @@
         while (const auto grant = scheduler.next(now)) {
             sent += static_cast<double>(grant->bytes);
             CHECK(sent <= 100 * (now + 10) + 1000);  // bounded by the allowed lead and one piece
-            scheduler.finished(grant->id);
+            scheduler.on_piece_written(grant->id);
         }
     CHECK(sent == 50000);
     CHECK(now <= 501);
@@ -36,7 +36,7 @@
     for (double now = 0; scheduler.due(); now += 1)
         while (const auto grant = scheduler.next(now)) {
             order.push_back(grant->id);
-            scheduler.finished(grant->id);
+            scheduler.on_piece_written(grant->id);
         }
     CHECK(order == std::vector<SendScheduler::Id>{short_one, short_one, long_one, long_one, long_one,
                                                   long_one, long_one});
@@ -50,7 +50,7 @@
     for (double now = 0; scheduler.due(); now += 1)
         while (const auto grant = scheduler.next(now)) {
             order.push_back(grant->id);
-            scheduler.finished(grant->id);
+            scheduler.on_piece_written(grant->id);
         }
     // A piece takes 10 ms of link time, and two may be granted in advance: the pieces granted before 20 ms
     // precede the urgent answers.
@@ -64,7 +64,7 @@
 
 TEST_CASE("send scheduler: short answers add to the backlog, and a removed answer no longer counts") {
     SendScheduler scheduler(settings());
-    scheduler.sent(0, 5000);
+    scheduler.record_sent(0, 5000);
     CHECK(scheduler.backlog(0) == 50);
     const auto id = scheduler.add(3000, 100);
     CHECK(scheduler.backlog(0) == 80);
@@ -73,7 +73,7 @@
     scheduler.remove(id);
     CHECK(scheduler.backlog(0) == 50);
     CHECK_FALSE(scheduler.due());
-    CHECK(scheduler.finished(id));  // removed while its piece was being written
+    CHECK(scheduler.on_piece_written(id));  // removed while its piece was being written
 }
 
 TEST_CASE("admission: a request whose answer the link can't deliver in time is refused before it runs") {
