--- a/src/lab/lease_cost.cpp
+++ b/src/lab/lease_cost.cpp
@@ -66,11 +66,11 @@
     // Rights: gained at once by ten processes' worth of holders, then renewed for a while.
     const std::size_t tasks = run.quick ? 1000 : 10000, holders = 10;
     constexpr Millis kLength = 10000;
-    std::vector<std::unique_ptr<lease::Rights>> rights;
+    std::vector<std::unique_ptr<lease::LeaseClient>> rights;
     before = of_leader(fleet);
     for (std::size_t h = 0; h < holders; ++h) {
         rights.push_back(
-            std::make_unique<lease::Rights>(io, fleet.settings(), "holder-" + std::to_string(h)));
+            std::make_unique<lease::LeaseClient>(io, fleet.settings(), "holder-" + std::to_string(h)));
         for (std::size_t t = h; t < tasks; t += holders)
             rights[h]->want("task-" + std::to_string(t), kLength, true);
     }
--- a/src/lab/lease_fleet.cpp
+++ b/src/lab/lease_fleet.cpp
@@ -51,7 +51,7 @@
       look_(io) {
     for (Keeper& keeper : keepers_) keeper.at = free_address(io);
     for (std::size_t k = 0; k < keepers_.size(); ++k) {
-        keepers_[k].line = std::make_unique<lease::Line>(
+        keepers_[k].line = std::make_unique<lease::ReplicaConnection>(
             io, keepers_[k].at, secret_, lease::Role::client, 1 << 20, 1 << 16, options.seed + k,
             [this, k](lease::FrameKind kind, std::string_view payload) {
                 if (kind == lease::FrameKind::answer) return read(payload);
@@ -338,8 +338,8 @@
 
 // A read that began after a note was told as left shows it, or a later one.
 void LeaseFleet::ask_notes() {
-    lease::Question q;
-    q.kind = lease::Question::Kind::list;
+    lease::Request q;
+    q.kind = lease::Request::Kind::list;
     q.holder = 1, q.number = ++question_;
     q.name = "lab", q.task = "task-";
     for (const auto& [task, values] : notes_) asked_[question_][task] = values.rbegin()->first;
@@ -350,7 +350,7 @@
 void LeaseFleet::read(std::string_view payload) {
     std::string why;
     const auto answer = lease::decode_answer(payload, why);
-    if (!answer || answer->kind != lease::Answer::Kind::listed) return;
+    if (!answer || answer->kind != lease::Response::Kind::listed) return;
     const auto asked = asked_.find(answer->number);
     if (asked == asked_.end()) return;
     ++record_.reads;
--- a/src/lab/lease_fleet.hpp
+++ b/src/lab/lease_fleet.hpp
@@ -89,7 +89,7 @@
 private:
     struct Keeper {
         std::unique_ptr<Child> child;
-        std::unique_ptr<lease::Line> line;
+        std::unique_ptr<lease::ReplicaConnection> line;
         tcp::endpoint at;
         bool stopped = false;
         nlohmann::json status;
--- a/src/lab/probing.cpp
+++ b/src/lab/probing.cpp
@@ -63,7 +63,7 @@
         for (std::size_t i = 0; i < kSidecars; ++i) at_.push_back(free_datagrams(io_));
         for (std::size_t i = 0; i < kSidecars && with; ++i) files_.push_back(settings(i));
         for (std::size_t k = 0; k < keepers_.options().keepers; ++k)
-            lines_.push_back(std::make_unique<lease::Line>(
+            lines_.push_back(std::make_unique<lease::ReplicaConnection>(
                 io_, keepers_.settings().keepers[k], secret_, lease::Role::client, 1 << 20, 1 << 16,
                 run.seed + k, [this](lease::FrameKind kind, std::string_view payload) {
                     if (kind == lease::FrameKind::answer) listed(payload);
@@ -158,7 +158,7 @@
     void listed(std::string_view payload) {
         std::string why;
         const auto answer = lease::decode_answer(payload, why);
-        if (!answer || answer->kind != lease::Answer::Kind::listed) return;
+        if (!answer || answer->kind != lease::Response::Kind::listed) return;
         std::istringstream lines(answer->text);
         for (std::string line; std::getline(lines, line);) {
             std::istringstream fields(line);
@@ -184,8 +184,8 @@
             stalls_.emplace_back(look_due_ - kLookEvery, now), ++seen_.stalls;
         if (with_ && now >= list_due_) {
             list_due_ = now + kListEvery;
-            lease::Question q;
-            q.kind = lease::Question::Kind::list;
+            lease::Request q;
+            q.kind = lease::Request::Kind::list;
             q.holder = 1, q.number = ++question_;
             q.name = "lab", q.task = "probe/";
             for (const auto& line : lines_) line->send(lease::FrameKind::question, lease::encode(q));
@@ -394,7 +394,7 @@
     Fleet fleet_;
     Load load_;
     const lease::Secret secret_;
-    std::vector<std::unique_ptr<lease::Line>> lines_;
+    std::vector<std::unique_ptr<lease::ReplicaConnection>> lines_;
     std::vector<bool> stopped_;
     asio::steady_timer look_;
     std::list<asio::steady_timer> timers_;
--- a/src/lab/sites.cpp
+++ b/src/lab/sites.cpp
@@ -54,7 +54,7 @@
         }
         for (std::size_t i = 0; i < kSidecars + kLeads; ++i) files_.push_back(settings(i));
         for (std::size_t k = 0; k < keepers_.options().keepers; ++k)
-            lines_.push_back(std::make_unique<lease::Line>(
+            lines_.push_back(std::make_unique<lease::ReplicaConnection>(
                 io_, keepers_.settings().keepers[k], secret_, lease::Role::client, 1 << 20, 1 << 16,
                 run.seed + k, [this](lease::FrameKind kind, std::string_view payload) {
                     if (kind == lease::FrameKind::answer) listed(payload);
@@ -167,8 +167,8 @@
     void look() {
         const Millis now = clock_.now();
         if (look_due_ > 0 && now > look_due_ + kStall) ++seen_.stalls, stalled_at_ = now;
-        lease::Question q;
-        q.kind = lease::Question::Kind::list;
+        lease::Request q;
+        q.kind = lease::Request::Kind::list;
         q.holder = 1, q.number = ++question_;
         q.name = "lab", q.task = site::kLeadTask;
         for (const auto& line : lines_) line->send(lease::FrameKind::question, lease::encode(q));
@@ -190,7 +190,7 @@
     void listed(std::string_view payload) {
         std::string why;
         const auto answer = lease::decode_answer(payload, why);
-        if (!answer || answer->kind != lease::Answer::Kind::listed || answer->text.empty()) return;
+        if (!answer || answer->kind != lease::Response::Kind::listed || answer->text.empty()) return;
         if (answer->number < answered_) return;  // overtaken
         answered_ = answer->number;
         struct Heard {
@@ -471,7 +471,7 @@
     std::vector<std::string> files_;
     Fleet fleet_;
     const lease::Secret secret_;
-    std::vector<std::unique_ptr<lease::Line>> lines_;
+    std::vector<std::unique_ptr<lease::ReplicaConnection>> lines_;
     std::vector<LeadProcess> leads_;
     std::vector<Hall> halls_;
     std::map<std::size_t, bool> late_;
--- a/src/lease/book.cpp
+++ b/src/lease/book.cpp
@@ -9,17 +9,17 @@
 
 namespace cobaltshift::lease {
 
-const Book::Task* Book::find(std::string_view task) const {
+const LeaseTable::Task* LeaseTable::find(std::string_view task) const {
     const auto at = tasks_.find(task);
     return at == tasks_.end() ? nullptr : &at->second;
 }
 
-std::string Book::note(std::string_view task) const {
+std::string LeaseTable::note(std::string_view task) const {
     const auto at = notes_.find(task);
     return at == notes_.end() ? std::string() : at->second.text;
 }
 
-Book::Effect Book::note(const Op& op) {
+LeaseTable::Effect LeaseTable::note(const Op& op) {
     const auto task = tasks_.find(op.task);
     if (task == tasks_.end() || task->second.fence != op.fence) return {};
     const auto at = notes_.find(op.task);
@@ -33,7 +33,7 @@
     return {Outcome::noted, 0, op.fence};
 }
 
-Book::Effect Book::grant_next(std::map<std::string, Task, std::less<>>::iterator at) {
+LeaseTable::Effect LeaseTable::grant_next(std::map<std::string, Task, std::less<>>::iterator at) {
     Task& task = at->second;
     if (const auto note = notes_.find(at->first); note != notes_.end() && note->second.text.empty())
         notes_.erase(note);
@@ -52,7 +52,7 @@
     return {Outcome::granted, next.holder, task.fence};
 }
 
-Book::Effect Book::apply(const Op& op) {
+LeaseTable::Effect LeaseTable::apply(const Op& op) {
     const std::string bytes = encode(op);
     digest_ = XXH3_64bits_withSeed(bytes.data(), bytes.size(), digest_ + 1);
     auto at = tasks_.find(op.task);
@@ -106,7 +106,7 @@
     return {};
 }
 
-std::string Book::save() const {
+std::string LeaseTable::save() const {
     using protozero::pbf_writer;
     std::string bytes;
     pbf_writer w(bytes);
@@ -138,7 +138,7 @@
     return bytes;
 }
 
-bool Book::load(std::string_view bytes) {
+bool LeaseTable::load(std::string_view bytes) {
     using store::Fields;
     *this = {};
     try {
@@ -168,7 +168,7 @@
                                 task.fence = t.number("fence");
                                 break;
                             case 5:
-                                task.length = t.real("length", 0, kLongest);
+                                task.length = t.real("length", 0, kMaxLeaseLength);
                                 break;
                             case 6:
                                 task.revoked = t.flag("revoked");
@@ -184,7 +184,7 @@
                                             waiter.name = q.text("waiter name", kMaxName);
                                             break;
                                         case 3:
-                                            waiter.length = q.real("length", 0, kLongest);
+                                            waiter.length = q.real("length", 0, kMaxLeaseLength);
                                             break;
                                         default:
                                             q.skip();
--- a/src/lease/book.hpp
+++ b/src/lease/book.hpp
@@ -19,7 +19,7 @@
 namespace cobaltshift::lease {
 
 // Not thread-safe.
-class Book {
+class LeaseTable {
 public:
     struct Waiter {
         HolderId holder = 0;
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-std::string encode(const Question& q) {
+std::string encode(const Request& q) {
     std::string bytes;
     pbf_writer w(bytes);
     w.add_uint64(1, kFormat);
@@ -62,12 +62,12 @@
     return store::append_checksum(std::move(bytes));
 }
 
-std::optional<Question> decode_question(std::string_view bytes, std::string& why) {
-    auto question = read<Question>(bytes, kMaxQuestionBytes, why, [](Question& q, Fields& f) {
+std::optional<Request> decode_question(std::string_view bytes, std::string& why) {
+    auto question = read<Request>(bytes, kMaxQuestionBytes, why, [](Request& q, Fields& f) {
         switch (f.tag()) {
             case 2:
-                q.kind = static_cast<Question::Kind>(
-                    f.number("kind", static_cast<std::uint64_t>(Question::Kind::note)));
+                q.kind = static_cast<Request::Kind>(
+                    f.number("kind", static_cast<std::uint64_t>(Request::Kind::note)));
                 return true;
             case 3:
                 q.holder = f.number("holder");
@@ -85,7 +85,7 @@
                 q.fence = f.number("fence");
                 return true;
             case 8:
-                q.length = f.real("length", kShortest, kLongest);
+                q.length = f.real("length", kMinLeaseLength, kMaxLeaseLength);
                 return true;
             case 9:
                 q.wait = f.flag("wait");
@@ -100,15 +100,15 @@
                 return false;
         }
     });
-    if (question && !fit_for_a_note(question->text))
+    if (question && !is_valid_note(question->text))
         return why = "its text has control characters", std::nullopt;
     if (question && question->holder == 0) return why = "it is nobody's", std::nullopt;
-    if (question && question->task.empty() && question->kind != Question::Kind::list)
+    if (question && question->task.empty() && question->kind != Request::Kind::list)
         return why = "the task is missing", std::nullopt;
     return question;
 }
 
-std::string encode(const Answer& a) {
+std::string encode(const Response& a) {
     std::string bytes;
     pbf_writer w(bytes);
     w.add_uint64(1, kFormat);
@@ -124,12 +124,12 @@
     return store::append_checksum(std::move(bytes));
 }
 
-std::optional<Answer> decode_answer(std::string_view bytes, std::string& why) {
-    return read<Answer>(bytes, kMaxText + 1024, why, [](Answer& a, Fields& f) {
+std::optional<Response> decode_answer(std::string_view bytes, std::string& why) {
+    return read<Response>(bytes, kMaxText + 1024, why, [](Response& a, Fields& f) {
         switch (f.tag()) {
             case 2:
-                a.kind = static_cast<Answer::Kind>(
-                    f.number("kind", static_cast<std::uint64_t>(Answer::Kind::listed)));
+                a.kind = static_cast<Response::Kind>(
+                    f.number("kind", static_cast<std::uint64_t>(Response::Kind::listed)));
                 return true;
             case 3:
                 a.holder = f.number("holder");
@@ -144,7 +144,7 @@
                 a.fence = f.number("fence");
                 return true;
             case 7:
-                a.length = f.real("length", 0, kLongest);
+                a.length = f.real("length", 0, kMaxLeaseLength);
                 return true;
             case 8:
                 a.place = static_cast<std::uint32_t>(f.number("place", UINT32_MAX));
@@ -199,7 +199,7 @@
                     op.fence = f.number("fence");
                     break;
                 case 6:
-                    op.length = f.real("length", 0, kLongest);
+                    op.length = f.real("length", 0, kMaxLeaseLength);
                     break;
                 case 7:
                     op.wait = f.flag("wait");
--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -10,12 +10,12 @@
 
 namespace cobaltshift::lease {
 
-std::string encode(const Question& question);
-std::string encode(const Answer& answer);
+std::string encode(const Request& question);
+std::string encode(const Response& answer);
 std::string encode(const Op& op);
 // Return nothing for bytes that can't be decoded or are out of bounds; `why` then describes the fault.
-std::optional<Question> decode_question(std::string_view bytes, std::string& why);
-std::optional<Answer> decode_answer(std::string_view bytes, std::string& why);
+std::optional<Request> decode_question(std::string_view bytes, std::string& why);
+std::optional<Response> decode_answer(std::string_view bytes, std::string& why);
 // Returns nothing for bytes that can't be decoded.
 std::optional<Op> decode_op(std::string_view bytes);
 
--- a/src/lease/holder.cpp
+++ b/src/lease/holder.cpp
@@ -12,12 +12,12 @@
 
 Holder::Holder(const HolderSettings& settings, std::uint64_t draw)
     : settings_(settings),
-      lots_(draw),
+      random_(draw),
       keeper_(static_cast<std::uint32_t>(draw % std::max(1U, settings.keepers))) {}
 
 void Holder::want(Millis now, const std::string& task, Millis length, bool wait) {
     Wanted& one = wanted_[task];
-    one.length = std::clamp(length, kShortest, kLongest);
+    one.length = std::clamp(length, kMinLeaseLength, kMaxLeaseLength);
     one.wait = wait;
     if (one.releasing) one.releasing = false, one.right = {};
     one.due = now;
@@ -43,7 +43,7 @@
 
 bool Holder::leave_note(Millis now, const std::string& task, const std::string& text) {
     const auto held = right(now, task);
-    if (!held || !fit_for_a_note(text)) return false;
+    if (!held || !is_valid_note(text)) return false;
     notes_[task] = {Note::on_its_way, held->fence, text, 0, now};
     return true;
 }
@@ -69,27 +69,27 @@
         ++counts_.unanswered;
         keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
     }
-    Question q;
-    q.kind = Question::Kind::note;
+    Request q;
+    q.kind = Request::Kind::note;
     q.holder = settings_.id;
     q.number = noting.number = next_number_++;
     q.name = settings_.name;
     q.task = task;
     q.fence = noting.fence;
     q.text = noting.text;
-    noting.due = now + settings_.answer * (1 + kSpread * (2 * lots_.unit() - 1));
+    noting.due = now + settings_.answer * (1 + kSpread * (2 * random_.unit() - 1));
     ++counts_.questions;
     out_.push_back({keeper_, std::move(q)});
 }
 
-void Holder::on_note_answer(Millis now, const Answer& a, PendingNote& noting) {
+void Holder::on_note_answer(Millis now, const Response& a, PendingNote& noting) {
     switch (a.kind) {
-        case Answer::Kind::elsewhere:
+        case Response::Kind::not_leader:
             if (a.place < settings_.keepers) keeper_ = a.place;
             noting.number = 0;
-            noting.due = now + kInitialBackoff * lots_.unit();
+            noting.due = now + kInitialBackoff * random_.unit();
             return;
-        case Answer::Kind::done: {
+        case Response::Kind::done: {
             noting.state = Note::left;
             ++counts_.noted;
             const auto at = wanted_.find(a.task);
@@ -110,8 +110,8 @@
 }
 
 void Holder::ask(Millis now, const std::string& task, Wanted& one) {
-    Question q;
-    q.kind = one.releasing ? Question::Kind::release : Question::Kind::want;
+    Request q;
+    q.kind = one.releasing ? Request::Kind::release : Request::Kind::want;
     q.holder = settings_.id;
     q.number = one.number = next_number_++;
     q.name = settings_.name;
@@ -122,7 +122,7 @@
     if (one.releasing) q.next = one.next;
     one.asked_at = now;
     one.outstanding = true;
-    one.due = now + settings_.answer * (1 + kSpread * (2 * lots_.unit() - 1));
+    one.due = now + settings_.answer * (1 + kSpread * (2 * random_.unit() - 1));
     ++counts_.questions;
     out_.push_back({keeper_, std::move(q)});
 }
@@ -151,7 +151,7 @@
             ++counts_.unanswered;
             keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
             one.pause = std::min(settings_.longest_pause, std::max(kInitialBackoff, 2 * one.pause));
-            one.due = now + one.pause * lots_.unit();
+            one.due = now + one.pause * random_.unit();
             if (one.due > now) {
                 ++at;
                 continue;
@@ -162,7 +162,7 @@
     }
 }
 
-void Holder::heard(Millis now, const Answer& a) {
+void Holder::heard(Millis now, const Response& a) {
     if (const auto noting = notes_.find(a.task); a.holder == settings_.id && noting != notes_.end() &&
                                                  a.number == noting->second.number && a.number != 0 &&
                                                  noting->second.state == Note::on_its_way)
@@ -172,22 +172,22 @@
     Wanted& one = at->second;
     one.last = a;
     one.outstanding = false;
-    if (a.kind == Answer::Kind::elsewhere) {
+    if (a.kind == Response::Kind::not_leader) {
         // Go to the leader that the response names; if it names none, to the next replica after a back-off.
         if (a.place < settings_.keepers && a.place != keeper_) {
             keeper_ = a.place;
-            one.due = now + 5 * lots_.unit();
+            one.due = now + 5 * random_.unit();
         } else {
             keeper_ = (keeper_ + 1) % std::max(1U, settings_.keepers);
             one.pause = std::min(settings_.longest_pause, std::max(kInitialBackoff, 2 * one.pause));
-            one.due = now + one.pause * (0.5 + lots_.unit() / 2);
+            one.due = now + one.pause * (0.5 + random_.unit() / 2);
         }
         return;
     }
     one.pause = 0;
-    const double spread = 1 + kSpread * (2 * lots_.unit() - 1);
+    const double spread = 1 + kSpread * (2 * random_.unit() - 1);
     switch (a.kind) {
-        case Answer::Kind::held:
+        case Response::Kind::held:
             one.queued = false;
             if (one.releasing) {  // released while the request was in flight; its fencing token is known now
                 one.right.fence = a.fence;
@@ -206,11 +206,11 @@
             }
             one.due = std::max(now, one.asked_at + a.length * kRenewAfter * spread);
             return;
-        case Answer::Kind::queued:
+        case Response::Kind::queued:
             one.queued = true;
             one.due = now + settings_.poll * spread;
             return;
-        case Answer::Kind::lost:
+        case Response::Kind::lost:
             if (one.releasing) {
                 wanted_.erase(at);
                 return;
@@ -220,7 +220,7 @@
             one.counted = false;
             one.due = now + kInitialBackoff * spread;
             return;
-        case Answer::Kind::done:
+        case Response::Kind::done:
             if (one.releasing) wanted_.erase(at);
             return;
         default:  // refused, full
@@ -256,7 +256,7 @@
     return at->second.queued ? State::waiting : State::asking;
 }
 
-const Answer* Holder::last(const std::string& task) const {
+const Response* Holder::last(const std::string& task) const {
     const auto at = wanted_.find(task);
     return at == wanted_.end() ? nullptr : &at->second.last;
 }
--- a/src/lease/holder.hpp
+++ b/src/lease/holder.hpp
@@ -41,7 +41,7 @@
     // A request to be sent to replica `keeper`.
     struct Ask {
         std::uint32_t keeper = 0;
-        Question question;
+        Request question;
     };
     enum class State { idle, asking, waiting, held, releasing };
 
@@ -69,14 +69,14 @@
     void tick(Millis now);
     Millis due() const;  // when tick() must be called next; 1e18: never
     // Handles a response. One that doesn't belong to the newest request about its task is ignored.
-    void heard(Millis now, const Answer& answer);
+    void heard(Millis now, const Response& answer);
     std::vector<Ask> take();  // requests to be sent
 
     // The lease, if it may still be acted upon at `now`.
     std::optional<Right> right(Millis now, const std::string& task) const;
     State state(const std::string& task) const;
     // The last response about the task, for display; null: the task is unknown.
-    const Answer* last(const std::string& task) const;
+    const Response* last(const std::string& task) const;
 
     struct Counts {
         std::uint64_t questions = 0, unanswered = 0, gained = 0, renewed = 0, lost = 0, ended = 0, noted = 0;
@@ -93,7 +93,7 @@
         bool counted = false;  // in `gained`, for this fencing token
         std::uint64_t number = 0;
         Millis asked_at = 0, due = 0, pause = 0, release_until = 0;
-        Answer last;
+        Response last;
         bool queued = false;
         std::string note;  // known to be stored
     };
@@ -105,11 +105,11 @@
         Millis due = 0;
     };
     void tick_note(Millis now, const std::string& task, PendingNote& noting);
-    void on_note_answer(Millis now, const Answer& answer, PendingNote& noting);
+    void on_note_answer(Millis now, const Response& answer, PendingNote& noting);
     void ask(Millis now, const std::string& task, Wanted& one);
 
     HolderSettings settings_;
-    kelplb::Random lots_;
+    kelplb::Random random_;
     std::uint32_t keeper_;  // replica believed to be the leader
     std::uint64_t next_number_ = 1;
     std::map<std::string, Wanted> wanted_;
--- a/src/lease/office.cpp
+++ b/src/lease/office.cpp
@@ -21,23 +21,24 @@
 }
 }  // namespace
 
-Office::Office(const OfficeSettings& settings, raft::PersistentState stored, Millis now, std::uint64_t draw)
+LeaseServer::LeaseServer(const LeaseServerSettings& settings, raft::PersistentState stored, Millis now,
+                         std::uint64_t draw)
     : settings_(settings), keeper_(settings.agree, std::move(stored), now, draw), now_(now) {}
 
-void Office::heard(Millis now, const raft::Message& message) {
+void LeaseServer::heard(Millis now, const raft::Message& message) {
     now_ = now;
     keeper_.on_message(now, message);
     if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) on_leadership_lost();
 }
 
-Millis Office::due() const {
+Millis LeaseServer::due() const {
     Millis due = keeper_.due();
     if (!leads_) return due;
     if (!lapses_.empty()) due = std::min(due, lapses_.begin()->first);
     return std::min(due, waiters_due_);
 }
 
-void Office::tick(Millis now) {
+void LeaseServer::tick(Millis now) {
     now_ = now;
     keeper_.tick(now);
     if (leads_ && (!keeper_.leads() || keeper_.term() != led_term_)) on_leadership_lost();
@@ -61,10 +62,10 @@
     std::erase_if(newest_, [&](const auto& at) { return now >= at.second.second + 120000; });
 }
 
-void Office::withdraw_silent(Millis now, const std::string& name, Millis silence) {
-    const Book::Task* task = book_.find(name);
+void LeaseServer::withdraw_silent(Millis now, const std::string& name, Millis silence) {
+    const LeaseTable::Task* task = book_.find(name);
     if (!task) return;
-    for (const Book::Waiter& waiter : task->queue) {
+    for (const LeaseTable::Waiter& waiter : task->queue) {
         Heard& heard = asking_[{name, waiter.holder}];
         if (heard.at == 0) heard.at = now;  // queued before this replica became leader
         if (now < heard.at + silence) continue;
@@ -75,27 +76,27 @@
 
 // ---- Requests --------------------------------------------------------------------------------------------
 
-void Office::reply(Client client, const Question& question, Answer answer) {
+void LeaseServer::reply(Client client, const Request& question, Response answer) {
     answer.holder = question.holder;
     answer.number = question.number;
     answer.task = question.task;
     replies_.push_back({client, std::move(answer)});
 }
 
-bool Office::propose(Op op) { return keeper_.propose(encode(op)).has_value(); }
+bool LeaseServer::propose(Op op) { return keeper_.propose(encode(op)).has_value(); }
 
-void Office::asked(Millis now, Client client, const Question& question) {
+void LeaseServer::asked(Millis now, Client client, const Request& question) {
     now_ = now;
     ++counts_.questions;
-    Answer answer;
+    Response answer;
     if (!leads_ || !keeper_.leads()) {
-        answer.kind = Answer::Kind::elsewhere;
+        answer.kind = Response::Kind::not_leader;
         if (!leads_ && keeper_.role() != raft::RaftNode::Role::leader)
-            answer.place = keeper_.leader_number().value_or(Answer::kUnknown);
-        ++counts_.elsewhere;
+            answer.place = keeper_.leader_number().value_or(Response::kUnknown);
+        ++counts_.not_leader;
         return reply(client, question, answer);
     }
-    if (question.kind == Question::Kind::list) {
+    if (question.kind == Request::Kind::list) {
         if (pending_reads_.size() < settings_.questions && keeper_.confirm_leadership(next_question_))
             pending_reads_[next_question_++] = {client, question};
         return;
@@ -112,16 +113,17 @@
     }
     newest->second = {question.number, now};
     switch (question.kind) {
-        case Question::Kind::want:
+        case Request::Kind::want:
             return want(now, client, question);
-        case Question::Kind::release: {
-            const Book::Task* task = book_.find(question.task);
+        case Request::Kind::release: {
+            const LeaseTable::Task* task = book_.find(question.task);
             if (!task || task->holder != question.holder || task->fence != question.fence) {
-                if (task && std::any_of(task->queue.begin(), task->queue.end(),
-                                        [&](const Book::Waiter& w) { return w.holder == question.holder; })) {
+                if (task &&
+                    std::any_of(task->queue.begin(), task->queue.end(),
+                                [&](const LeaseTable::Waiter& w) { return w.holder == question.holder; })) {
                     propose(make_op(Op::Kind::withdraw, question.task, question.holder, 0));
                 }
-                answer.kind = Answer::Kind::lost;
+                answer.kind = Response::Kind::lost;
                 return reply(client, question, answer);
             }
             Op op = make_op(Op::Kind::release, question.task, question.holder, question.fence);
@@ -129,31 +131,31 @@
             if (propose(op)) ending_[{question.task, question.holder}] = {client, question.number};
             return;
         }
-        case Question::Kind::revoke: {
-            const Book::Task* task = book_.find(question.task);
+        case Request::Kind::revoke: {
+            const LeaseTable::Task* task = book_.find(question.task);
             if (!task || (question.fence != 0 && task->fence != question.fence)) {
-                answer.kind = Answer::Kind::lost;
+                answer.kind = Response::Kind::lost;
                 return reply(client, question, answer);
             }
             if (propose(make_op(Op::Kind::revoke, question.task, question.holder, task->fence)))
                 ending_[{question.task, question.holder}] = {client, question.number};
             return;
         }
-        case Question::Kind::note:
+        case Request::Kind::note:
             if (note(client, question)) return;
             // A newer leader may have granted the lease meanwhile, so `lost` is answered only once this
             // replica's leadership is confirmed.
             if (pending_reads_.size() < settings_.questions && keeper_.confirm_leadership(next_question_))
                 pending_reads_[next_question_++] = {client, question};
             return;
-        case Question::Kind::list:
+        case Request::Kind::list:
             return;
     }
 }
 
 // Proposes the note. False: the request's fencing token is not the task's current one.
-bool Office::note(Client client, const Question& question) {
-    const Book::Task* task = book_.find(question.task);
+bool LeaseServer::note(Client client, const Request& question) {
+    const LeaseTable::Task* task = book_.find(question.task);
     if (!task || task->fence != question.fence) return false;
     Op op = make_op(Op::Kind::note, question.task, question.holder, question.fence);
     op.text = question.text;
@@ -162,13 +164,13 @@
     return true;
 }
 
-void Office::want(Millis now, Client client, const Question& question) {
-    const Book::Task* task = book_.find(question.task);
-    Answer answer;
+void LeaseServer::want(Millis now, Client client, const Request& question) {
+    const LeaseTable::Task* task = book_.find(question.task);
+    Response answer;
     if (task && task->holder == question.holder) {
         const auto held = held_.find(question.task);
         if (task->revoked || held == held_.end() || held->second.lapsing) {
-            answer.kind = Answer::Kind::lost;
+            answer.kind = Response::Kind::lost;
             answer.fence = task->fence;
             return reply(client, question, answer);
         }
@@ -177,7 +179,7 @@
         return;
     }
     if (task && !question.wait) {
-        answer.kind = Answer::Kind::refused;
+        answer.kind = Response::Kind::refused;
         answer.by = task->name;
         return reply(client, question, answer);
     }
@@ -187,7 +189,7 @@
     if (task)
         for (std::size_t i = 0; i < task->queue.size(); ++i)
             if (task->queue[i].holder == question.holder) {
-                answer.kind = Answer::Kind::queued;
+                answer.kind = Response::Kind::queued;
                 answer.place = static_cast<std::uint32_t>(i);
                 answer.by = task->name;
                 return reply(client, question, answer);
@@ -200,18 +202,18 @@
 }
 
 // A majority has confirmed that this replica still led after it received the request with this read id.
-void Office::on_leadership_confirmed(Millis now, std::uint64_t question) {
+void LeaseServer::on_leadership_confirmed(Millis now, std::uint64_t question) {
     if (const auto read = pending_reads_.find(question); read != pending_reads_.end()) {
         const Read one = std::move(read->second);
         pending_reads_.erase(read);
-        Answer answer;
-        if (one.question.kind == Question::Kind::note) {
+        Response answer;
+        if (one.question.kind == Request::Kind::note) {
             // The token has become current meanwhile. Nothing may be proposed from within take(), so the
             // note is proposed when the holder repeats its request.
-            const Book::Task* task = book_.find(one.question.task);
+            const LeaseTable::Task* task = book_.find(one.question.task);
             if (task && task->fence == one.question.fence) return;
         } else {
-            answer.kind = Answer::Kind::listed;
+            answer.kind = Response::Kind::listed;
             answer.text = list_tasks(one.question.task, now);
         }
         return reply(one.client, one.question, answer);
@@ -220,20 +222,20 @@
     if (at == renewals_.end()) return;
     const Renewal renewal = std::move(at->second);
     renewals_.erase(at);
-    Question q;
+    Request q;
     q.holder = renewal.holder;
     q.number = renewal.number;
     q.task = renewal.task;
-    Answer answer;
+    Response answer;
     answer.fence = renewal.fence;
-    const Book::Task* task = book_.find(renewal.task);
+    const LeaseTable::Task* task = book_.find(renewal.task);
     const auto held = held_.find(renewal.task);
     if (!task || task->holder != renewal.holder || task->fence != renewal.fence || task->revoked ||
         held == held_.end() || held->second.lapsing) {
-        answer.kind = Answer::Kind::lost;
+        answer.kind = Response::Kind::lost;
     } else {
         extend_timer(renewal.task, held->second, now + wait_for(task->length, settings_.drift));
-        answer.kind = Answer::Kind::held;
+        answer.kind = Response::Kind::held;
         answer.length = task->length;
         answer.text = book_.note(renewal.task);
         ++counts_.renewals;
@@ -243,48 +245,48 @@
 
 // ---- Applying --------------------------------------------------------------------------------------------
 
-void Office::extend_timer(const std::string& task, Held& held, Millis until) {
+void LeaseServer::extend_timer(const std::string& task, Held& held, Millis until) {
     lapses_.erase({held.until, task});
     held.until = std::max(held.until, until);
     lapses_.insert({held.until, task});
 }
 
-void Office::remove_timer(const std::string& task) {
+void LeaseServer::remove_timer(const std::string& task) {
     const auto at = held_.find(task);
     if (at == held_.end()) return;
     lapses_.erase({at->second.until, task});
     held_.erase(at);
 }
 
-void Office::restart_timer(Millis now, const std::string& task, const Book::Task& held) {
+void LeaseServer::restart_timer(Millis now, const std::string& task, const LeaseTable::Task& held) {
     remove_timer(task);
     Held& mine = held_[task];
     mine.fence = held.fence;
     extend_timer(task, mine, now + wait_for(held.length, settings_.drift));
 }
 
-void Office::apply(Millis now, const raft::Committed& one) {
+void LeaseServer::apply(Millis now, const raft::Committed& one) {
     applied_ = one.index;
     if (one.entry.kind != raft::Entry::Kind::data) return;
     const auto op = decode_op(one.entry.data);
     if (!op) throw raft::ProtocolViolation("an operation in the log can't be read");
-    const Book::Effect effect = book_.apply(*op);
+    const LeaseTable::Effect effect = book_.apply(*op);
     if (!leads_) return;
-    const Book::Task* task = book_.find(op->task);
+    const LeaseTable::Task* task = book_.find(op->task);
     if (!task)
         remove_timer(op->task);
-    else if (effect.outcome == Book::Outcome::granted)
+    else if (effect.outcome == LeaseTable::Outcome::granted)
         restart_timer(now, op->task, *task);
-    Question q;
+    Request q;
     q.task = op->task;
-    Answer answer;
-    if (effect.outcome == Book::Outcome::granted) {
+    Response answer;
+    if (effect.outcome == LeaseTable::Outcome::granted) {
         ++counts_.grants;
         const auto asker = asking_.find({op->task, effect.to});
         if (asker != asking_.end()) {
             q.holder = effect.to;
             q.number = asker->second.asker.number;
-            answer.kind = Answer::Kind::held;
+            answer.kind = Response::Kind::held;
             answer.fence = effect.fence;
             answer.length = task->length;
             answer.text = book_.note(op->task);
@@ -292,27 +294,27 @@
             asking_.erase(asker);
         }
     }
-    if (op->kind == Op::Kind::want && effect.outcome != Book::Outcome::granted) {
+    if (op->kind == Op::Kind::want && effect.outcome != LeaseTable::Outcome::granted) {
         const auto asker = asking_.find({op->task, op->holder});
         if (asker == asking_.end()) return;
         q.holder = op->holder;
         q.number = asker->second.asker.number;
         const Client client = asker->second.asker.client;
         answer = {};
-        if (effect.outcome == Book::Outcome::queued) {
-            answer.kind = Answer::Kind::queued;
+        if (effect.outcome == LeaseTable::Outcome::queued) {
+            answer.kind = Response::Kind::queued;
             answer.by = task->name;
             answer.place = 0;
             while (answer.place < task->queue.size() && task->queue[answer.place].holder != op->holder)
                 ++answer.place;
         } else {
             // `nothing`: an earlier request of this holder was granted; its next request renews the lease.
-            answer.kind = effect.outcome == Book::Outcome::refused ? Answer::Kind::refused
-                          : effect.outcome == Book::Outcome::full  ? Answer::Kind::full
-                                                                   : Answer::Kind::lost;
+            answer.kind = effect.outcome == LeaseTable::Outcome::refused ? Response::Kind::refused
+                          : effect.outcome == LeaseTable::Outcome::full  ? Response::Kind::full
+                                                                         : Response::Kind::lost;
             if (task) answer.by = task->name;
             asking_.erase(asker);
-            if (effect.outcome == Book::Outcome::nothing) return;
+            if (effect.outcome == LeaseTable::Outcome::nothing) return;
         }
         return reply(client, q, answer);
     }
@@ -324,10 +326,11 @@
     q.holder = op->holder;
     q.number = asker->second.number;
     answer = {};
-    answer.kind = Answer::Kind::done;
-    if (notes && effect.outcome != Book::Outcome::noted)
-        answer.kind = effect.outcome == Book::Outcome::full ? Answer::Kind::full : Answer::Kind::lost;
-    counts_.notes += effect.outcome == Book::Outcome::noted;
+    answer.kind = Response::Kind::done;
+    if (notes && effect.outcome != LeaseTable::Outcome::noted)
+        answer.kind =
+            effect.outcome == LeaseTable::Outcome::full ? Response::Kind::full : Response::Kind::lost;
+    counts_.notes += effect.outcome == LeaseTable::Outcome::noted;
     answer.fence = op->fence;
     const Client client = asker->second.client;
     askers.erase(asker);
@@ -336,7 +339,7 @@
 
 // Starts the timers of all leases anew, as earlier leaders may have confirmed renewals that this replica
 // doesn't know of.
-void Office::on_leadership_gained(Millis now) {
+void LeaseServer::on_leadership_gained(Millis now) {
     leads_ = true;
     led_term_ = keeper_.term();
     waiters_due_ = now + kWaiterCheckInterval;
@@ -344,7 +347,7 @@
 }
 
 // Pending requests get no response, as another leader may have served the same request. The holders retry.
-void Office::on_leadership_lost() {
+void LeaseServer::on_leadership_lost() {
     leads_ = false;
     held_.clear();
     lapses_.clear();
@@ -356,7 +359,7 @@
     newest_.clear();
 }
 
-Office::Output Office::take(Millis now) {
+LeaseServer::Output LeaseServer::take(Millis now) {
     now_ = now;
     Output output;
     output.ready = keeper_.take_ready();
@@ -377,7 +380,7 @@
     return output;
 }
 
-std::string Office::list_tasks(const std::string& prefix, Millis now) const {
+std::string LeaseServer::list_tasks(const std::string& prefix, Millis now) const {
     std::string text;
     std::size_t count = 0;
     for (auto at = book_.tasks().lower_bound(prefix); at != book_.tasks().end(); ++at) {
--- a/src/lease/office.hpp
+++ b/src/lease/office.hpp
@@ -29,7 +29,7 @@
 
 namespace cobaltshift::lease {
 
-struct OfficeSettings {
+struct LeaseServerSettings {
     raft::Settings agree;
     double drift = 0.025;  // largest rate error of a monotonic clock, as a fraction; 0 to 0.2
     // A waiter that has sent no request for this long (ms) is removed from its queue; half of this suffices
@@ -39,12 +39,12 @@
     std::size_t questions = 50000;     // limit of pending renewals, and of pending reads
 };
 
-class Office {
+class LeaseServer {
 public:
     using Client = std::uint64_t;  // caller's id for the connection that a response goes to
     struct Reply {
         Client client;
-        Answer answer;
+        Response answer;
     };
     // The caller persists and syncs what `ready` holds, then calls stored(), then sends its messages, then
     // the replies.
@@ -55,13 +55,14 @@
 
     // `settings` must be within their ranges. `draw` seeds the random number generator. Throws like
     // raft::RaftNode's constructor.
-    Office(const OfficeSettings& settings, raft::PersistentState stored, Millis now, std::uint64_t draw);
+    LeaseServer(const LeaseServerSettings& settings, raft::PersistentState stored, Millis now,
+                std::uint64_t draw);
 
     // Handles a Raft message.
     void heard(Millis now, const raft::Message& message);
     // Handles a client's request. A replica that doesn't lead answers with the leader's number. Requests that
     // are repeated, delayed or over a limit get no response; clients retry.
-    void asked(Millis now, Client client, const Question& question);
+    void asked(Millis now, Client client, const Request& question);
     void tick(Millis now);
     Millis due() const;  // when tick() must be called next
     bool ready() const { return keeper_.has_ready() || !replies_.empty(); }
@@ -72,7 +73,7 @@
 
     const raft::RaftNode& keeper() const { return keeper_; }
     raft::RaftNode& keeper() { return keeper_; }
-    const Book& book() const { return book_; }
+    const LeaseTable& book() const { return book_; }
     raft::Index applied() const { return applied_; }
 
     // How long the leader waits, on its own clock, after it granted or renewed a lease until it has ended on
@@ -80,7 +81,7 @@
     static Millis wait_for(Millis length, double drift) { return length * (1 + drift) / (1 - drift); }
 
     struct Counts {
-        std::uint64_t questions = 0, grants = 0, renewals = 0, lapses = 0, elsewhere = 0, dropped = 0,
+        std::uint64_t questions = 0, grants = 0, renewals = 0, lapses = 0, not_leader = 0, dropped = 0,
                       notes = 0;
     };
     const Counts& counts() const { return counts_; }
@@ -107,23 +108,23 @@
         Millis at = 0;
         Asker asker;
     };
-    void reply(Client client, const Question& question, Answer answer);
-    void want(Millis now, Client client, const Question& question);
-    bool note(Client client, const Question& question);
+    void reply(Client client, const Request& question, Response answer);
+    void want(Millis now, Client client, const Request& question);
+    bool note(Client client, const Request& question);
     bool propose(Op op);
     void withdraw_silent(Millis now, const std::string& task, Millis silence);
     void on_leadership_confirmed(Millis now, std::uint64_t question);
     void apply(Millis now, const raft::Committed& one);
     void on_leadership_gained(Millis now);
     void on_leadership_lost();
-    void restart_timer(Millis now, const std::string& task, const Book::Task& held);
+    void restart_timer(Millis now, const std::string& task, const LeaseTable::Task& held);
     void extend_timer(const std::string& task, Held& held, Millis until);
     void remove_timer(const std::string& task);
     std::string list_tasks(const std::string& prefix, Millis now) const;
 
-    OfficeSettings settings_;
+    LeaseServerSettings settings_;
     raft::RaftNode keeper_;
-    Book book_;
+    LeaseTable book_;
     raft::Index applied_ = 0;
     bool leads_ = false;
     raft::Term led_term_ = 0;
@@ -136,7 +137,7 @@
     std::map<std::uint64_t, Renewal> renewals_;                        // by read id
     struct Read {
         Client client;
-        Question question;
+        Request question;
     };
     std::map<std::uint64_t, Read> pending_reads_;  // by read id; answered only once leadership is confirmed
     // Highest request number of each holder, and when it arrived.
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -27,10 +27,10 @@
 // the task. It takes effect once a majority has persisted it. kMaxNote: size of one note in bytes;
 // kMaxNotes: notes of all tasks together.
 constexpr std::size_t kMaxNote = 1024, kMaxNotes = 256;
-constexpr Millis kShortest = 200, kLongest = 3600000;  // limits of a lease's duration, ms
+constexpr Millis kMinLeaseLength = 200, kMaxLeaseLength = 3600000;  // limits of a lease's duration, ms
 
 // A request to a replica. Only the leader serves it.
-struct Question {
+struct Request {
     enum class Kind : std::uint8_t {
         want,     // acquire or renew the lease; with `wait`, join the queue if another holds it
         release,  // end the lease `fence`; `next`: name of the waiter that gets it first, if any
@@ -51,16 +51,16 @@
 };
 
 // A replica's response to one request.
-struct Answer {
+struct Response {
     enum class Kind : std::uint8_t {
-        held,       // until `length` after the request was sent; `text`: the task's note
-        queued,     // at position `place`, counted from 0
-        refused,    // the task is held by `by`
-        lost,       // the lease that the request refers to has ended
-        done,       // the release, revocation or note has been committed
-        elsewhere,  // not the leader; `place`: number of the leader, or kUnknown
-        full,       // the limit of tasks, waiters or notes is reached
-        listed,     // `text`: one line per task
+        held,        // until `length` after the request was sent; `text`: the task's note
+        queued,      // at position `place`, counted from 0
+        refused,     // the task is held by `by`
+        lost,        // the lease that the request refers to has ended
+        done,        // the release, revocation or note has been committed
+        not_leader,  // not the leader; `place`: number of the leader, or kUnknown
+        full,        // the limit of tasks, waiters or notes is reached
+        listed,      // `text`: one line per task
     };
     static constexpr std::uint32_t kUnknown = UINT32_MAX;
     Kind kind = Kind::lost;
@@ -89,7 +89,7 @@
 };
 
 // Whether `text` is allowed as a note: at most kMaxNote bytes on one line, without control characters.
-inline bool fit_for_a_note(const std::string& text) {
+inline bool is_valid_note(const std::string& text) {
     if (text.size() > kMaxNote) return false;
     for (const unsigned char c : text)
         if (c < 0x20 || c == 0x7f) return false;
--- a/src/lease_cli.cpp
+++ b/src/lease_cli.cpp
@@ -34,8 +34,8 @@
     return std::chrono::milliseconds(static_cast<long>(value));
 }
 
-lease::Question question(lease::Question::Kind kind, const std::string& task) {
-    lease::Question q;
+lease::Request question(lease::Request::Kind kind, const std::string& task) {
+    lease::Request q;
     q.kind = kind;
     q.holder = 1 + (static_cast<std::uint64_t>(randombytes_random()) << 20);
     q.number = 1;
@@ -45,15 +45,15 @@
 }
 
 // Returns the leader's response, or nothing if none arrived within `within` ms.
-std::optional<lease::Answer> ask_leader(const lease::KeepersSettings& settings, const lease::Question& q,
-                                        lease::Millis within) {
-    std::optional<lease::Answer> answer;
+std::optional<lease::Response> ask_leader(const lease::KeepersSettings& settings, const lease::Request& q,
+                                          lease::Millis within) {
+    std::optional<lease::Response> answer;
     lease::ask(settings, lease::FrameKind::question, encode(q), millis(within),
                [&](std::uint32_t, lease::FrameKind kind, std::string_view payload) {
                    std::string why;
                    if (kind != lease::FrameKind::answer) return false;
                    auto one = lease::decode_answer(payload, why);
-                   if (!one || one->kind == lease::Answer::Kind::elsewhere) return false;
+                   if (!one || one->kind == lease::Response::Kind::not_leader) return false;
                    answer = std::move(one);
                    return true;
                });
@@ -288,8 +288,8 @@
 }
 
 int LeaseCli::add() {
-    const lease::Millis end = lease::own_clock() + within_;
-    while (lease::own_clock() < end) {
+    const lease::Millis end = lease::boottime_now() + within_;
+    while (lease::boottime_now() < end) {
         const auto all = statuses(settings_.keepers, 500);
         if (const json* leader = leader_of(all))
             for (const json& member : (*leader)["members"])
@@ -306,7 +306,7 @@
 // ---- Leases ----------------------------------------------------------------------------------------------
 
 int LeaseCli::list(bool exactly_one) {
-    const auto answer = ask_leader(settings_.keepers, question(lease::Question::Kind::list, task_), within_);
+    const auto answer = ask_leader(settings_.keepers, question(lease::Request::Kind::list, task_), within_);
     if (!answer) return report_no_leader(within_);
     std::vector<Row> all = rows(answer->text);
     if (exactly_one) std::erase_if(all, [&](const Row& row) { return row.task != task_; });
@@ -334,10 +334,9 @@
 }
 
 int LeaseCli::revoke() {
-    const auto answer =
-        ask_leader(settings_.keepers, question(lease::Question::Kind::revoke, task_), within_);
+    const auto answer = ask_leader(settings_.keepers, question(lease::Request::Kind::revoke, task_), within_);
     if (!answer) return report_no_leader(within_);
-    if (answer->kind != lease::Answer::Kind::done) {
+    if (answer->kind != lease::Response::Kind::done) {
         std::cerr << "cobaltshift: nobody holds " << task_ << '\n';
         return 1;
     }
@@ -346,24 +345,24 @@
 }
 
 int LeaseCli::note() {
-    if (!lease::fit_for_a_note(text_)) {
+    if (!lease::is_valid_note(text_)) {
         std::cerr << "cobaltshift: TEXT is over 1024 bytes or has control characters\n";
         return 2;
     }
-    lease::Question q = question(lease::Question::Kind::note, task_);
+    lease::Request q = question(lease::Request::Kind::note, task_);
     q.fence = fence_;
     q.text = text_;
     // All invocations of this command under one lease share a holder id and take increasing request numbers
     // from this machine's clock.
     q.holder = 1ULL << 63 | fence_;
-    q.number = static_cast<std::uint64_t>(lease::own_clock() * 1000);
+    q.number = static_cast<std::uint64_t>(lease::boottime_now() * 1000);
     const auto answer = ask_leader(settings_.keepers, q, within_);
     if (!answer) return report_no_leader(within_);
-    if (answer->kind == lease::Answer::Kind::full) {
+    if (answer->kind == lease::Response::Kind::full) {
         std::cerr << "cobaltshift: the limit of notes is reached\n";
         return 1;
     }
-    if (answer->kind != lease::Answer::Kind::done) {
+    if (answer->kind != lease::Response::Kind::done) {
         std::cerr << "cobaltshift: " << task_ << " is not held under " << fence_ << '\n';
         return lease::RunCommand::kRightEnded;
     }
@@ -375,7 +374,7 @@
     command_.wait = !no_wait_;
     for (std::string& word : command_.words)
         if (word.starts_with(kPassThroughPrefix)) word.erase(0, kPassThroughPrefix.size());
-    if (command_.length < lease::kShortest || command_.length > lease::kLongest ||
+    if (command_.length < lease::kMinLeaseLength || command_.length > lease::kMaxLeaseLength ||
         settings_.keepers.margin > command_.length / 3) {
         std::cerr << "cobaltshift: --length must be between 200ms and 60m, and three times keepers.margin_ms "
                      "at least\n";
--- a/src/lease_io/ask.cpp
+++ b/src/lease_io/ask.cpp
@@ -16,16 +16,16 @@
     asio::io_context io(1);
     const Secret secret = Secret::from_file(settings.secret_file);
     std::optional<std::string> taken;
-    std::vector<std::unique_ptr<Line>> lines;
+    std::vector<std::unique_ptr<ReplicaConnection>> lines;
     for (std::uint32_t n = 0; n < settings.keepers.size(); ++n)
-        lines.push_back(std::make_unique<Line>(io, settings.keepers[n], secret, Role::client, kLargestAnswer,
-                                               kMostQueued,
-                                               static_cast<std::uint64_t>(own_clock() * 1000) + n,
-                                               [&, n](FrameKind said, std::string_view answer) {
-                                                   if (taken || !take(n, said, answer)) return;
-                                                   taken = std::string(answer);
-                                                   io.stop();
-                                               }));
+        lines.push_back(std::make_unique<ReplicaConnection>(
+            io, settings.keepers[n], secret, Role::client, kLargestAnswer, kMostQueued,
+            static_cast<std::uint64_t>(boottime_now() * 1000) + n,
+            [&, n](FrameKind said, std::string_view answer) {
+                if (taken || !take(n, said, answer)) return;
+                taken = std::string(answer);
+                io.stop();
+            }));
     // The request goes to all replicas at once, as only the leader serves it, and is repeated because
     // leadership may change meanwhile.
     asio::steady_timer again(io), end(io);
--- a/src/lease_io/clock.hpp
+++ b/src/lease_io/clock.hpp
@@ -9,7 +9,7 @@
 
 namespace cobaltshift::lease {
 
-inline raft::Millis own_clock() {
+inline raft::Millis boottime_now() {
     timespec now{};
     ::clock_gettime(CLOCK_BOOTTIME, &now);
     return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
--- a/src/lease_io/draw.hpp
+++ b/src/lease_io/draw.hpp
@@ -8,7 +8,7 @@
 
 namespace cobaltshift::lease {
 
-inline std::uint64_t drawn() {
+inline std::uint64_t random_id() {
     std::uint64_t value = 0;
     while (value == 0) randombytes_buf(&value, sizeof value);
     return value;
--- a/src/lease_io/keeper_node.cpp
+++ b/src/lease_io/keeper_node.cpp
@@ -55,8 +55,9 @@
     for (std::uint32_t n = 0; n < all_.keepers.size(); ++n) {
         if (n == own_.office.agree.number) continue;
         // Replicas send nothing over accepted connections: each connects to the others to send its messages.
-        peers_[n] = std::make_unique<Line>(io_, all_.keepers[n], secret_, Role::keeper, 1024, kPeerQueue,
-                                           drawn(), [](FrameKind, std::string_view) {});
+        peers_[n] =
+            std::make_unique<ReplicaConnection>(io_, all_.keepers[n], secret_, Role::keeper, 1024, kPeerQueue,
+                                                random_id(), [](FrameKind, std::string_view) {});
         peers_[n]->keep();
     }
     accept();
@@ -104,7 +105,8 @@
     log_line("keeper.new_life",
              "keeper " + std::to_string(own_.office.agree.number) + " starts a new incarnation: " + why,
              {{"keeper", std::uint64_t{own_.office.agree.number}}, {"why", why}});
-    folder_->begin(raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (drawn() >> 4)));
+    folder_->begin(
+        raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (random_id() >> 4)));
 }
 
 void KeeperNode::boot() {
@@ -127,7 +129,7 @@
         stored = folder_->take_stored();
     }
     stored.starts = folder_->start();
-    office_ = std::make_unique<Office>(office_settings_, std::move(stored), own_clock(), drawn());
+    office_ = std::make_unique<LeaseServer>(office_settings_, std::move(stored), boottime_now(), random_id());
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
@@ -168,14 +170,14 @@
             ++counts_.refused_messages;
             return;
         }
-        event([&] { office_->heard(own_clock(), *message); });
+        event([&] { office_->heard(boottime_now(), *message); });
     } else if (kind == FrameKind::question && !keeper) {
         const auto question = decode_question(payload, why);
         if (!question) {
             ++counts_.refused_messages;
             return;
         }
-        event([&] { office_->asked(own_clock(), session, *question); });
+        event([&] { office_->asked(boottime_now(), session, *question); });
     } else if (kind == FrameKind::order && !keeper) {
         order(session, payload);
     } else {
@@ -210,7 +212,7 @@
               {"lapses", office_->counts().lapses}};
     said["leader"] = keeper.leader_number() ? json(*keeper.leader_number()) : json();
     said["members"] = json::array();
-    const Millis now = own_clock();
+    const Millis now = boottime_now();
     for (const raft::Member& member : keeper.members()) {
         json one{{"number", member.number}, {"voter", member.voter}, {"id", std::to_string(member.id)}};
         const auto peer = keeper.peers().find(member.id);
@@ -241,13 +243,13 @@
     m.gauge("cobaltshift_keeper_longest_sync_ms", "since the start", counts_.longest_sync);
     m.gauge("cobaltshift_lease_tasks", "in the book", count(office_->book().tasks().size()));
     m.gauge("cobaltshift_lease_fence", "the last given", count(office_->book().last_fence()));
-    const Office::Counts& c = office_->counts();
+    const LeaseServer::Counts& c = office_->counts();
     m.family("cobaltshift_lease_events_total", MetricsText::Kind::counter, "at this keeper, by kind");
     m.sample(count(c.questions), {{"kind", "question"}});
     m.sample(count(c.grants), {{"kind", "grant"}});
     m.sample(count(c.renewals), {{"kind", "renewal"}});
     m.sample(count(c.lapses), {{"kind", "lapse"}});
-    m.sample(count(c.elsewhere), {{"kind", "elsewhere"}});
+    m.sample(count(c.not_leader), {{"kind", "elsewhere"}});
     m.sample(count(c.dropped), {{"kind", "dropped"}});
     if (!keeper.leads()) return;
     m.family("cobaltshift_keeper_behind", MetricsText::Kind::gauge,
@@ -316,9 +318,9 @@
 
 void KeeperNode::pump() {
     while (!stopped_ && office_ && office_->ready()) {
-        Office::Output output = office_->take(own_clock());
+        LeaseServer::Output output = office_->take(boottime_now());
         if (output.ready.writes()) {
-            const Millis before = own_clock();
+            const Millis before = boottime_now();
             try {
                 folder_->keep(output.ready);
             } catch (const store::StorageFull& fault) {
@@ -339,11 +341,11 @@
                 });
                 return;
             }
-            counts_.longest_sync = std::max(counts_.longest_sync, own_clock() - before);
+            counts_.longest_sync = std::max(counts_.longest_sync, boottime_now() - before);
         }
         if (output.ready.retired) {
             folder_->begin(
-                raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (drawn() >> 4)));
+                raft::newcomer(office_settings_.agree.cluster_id, raft::kFirstRandomId + (random_id() >> 4)));
             ++counts_.lives;
             log_line("keeper.new_life", "keeper " + std::to_string(own_.office.agree.number) +
                                             " has been removed from the members and asks to join again");
@@ -357,7 +359,7 @@
                 if (message.kind == raft::Message::Kind::join || number == message.to_number)
                     line->send(FrameKind::message, bytes);
         }
-        for (const Office::Reply& reply : output.replies) {
+        for (const LeaseServer::Reply& reply : output.replies) {
             const auto session = sessions_.find(reply.client);
             if (session != sessions_.end())
                 session->second.channel->send(FrameKind::answer, encode(reply.answer), kClientQueue);
@@ -377,10 +379,10 @@
 
 void KeeperNode::schedule() {
     const Millis due = office_->due();
-    const Millis wait = std::clamp(due - own_clock(), 0.0, 60000.0);
+    const Millis wait = std::clamp(due - boottime_now(), 0.0, 60000.0);
     timer_.expires_after(std::chrono::microseconds(static_cast<long>(wait * 1000) + 1));
     timer_.async_wait([this](error_code ec) {
-        if (!ec) event([this] { office_->tick(own_clock()); });
+        if (!ec) event([this] { office_->tick(boottime_now()); });
     });
 }
 
--- a/src/lease_io/keeper_node.hpp
+++ b/src/lease_io/keeper_node.hpp
@@ -75,14 +75,14 @@
     const KeeperSettings own_;
     const KeepersSettings all_;
     const Secret secret_;
-    OfficeSettings office_settings_;
+    LeaseServerSettings office_settings_;
     std::unique_ptr<store::SqliteStorage> folder_;
-    std::unique_ptr<Office> office_;
+    std::unique_ptr<LeaseServer> office_;
     tcp::acceptor acceptor_;
     asio::steady_timer timer_, accept_timer_;
     std::map<std::uint64_t, Session> sessions_;
     std::uint64_t next_session_ = 1;
-    std::map<std::uint32_t, std::unique_ptr<Line>> peers_;
+    std::map<std::uint32_t, std::unique_ptr<ReplicaConnection>> peers_;
     bool stopped_ = false, led_ = false, pump_posted_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::string over_;
--- a/src/lease_io/line.cpp
+++ b/src/lease_io/line.cpp
@@ -7,24 +7,25 @@
 constexpr std::chrono::milliseconds kConnectTimeout{3000};
 }  // namespace
 
-Line::Line(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role, std::size_t largest,
-           std::size_t most_queued, std::uint64_t draw, Frame frame)
+ReplicaConnection::ReplicaConnection(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role,
+                                     std::size_t largest, std::size_t most_queued, std::uint64_t draw,
+                                     Frame frame)
     : io_(io),
       to_(std::move(to)),
       secret_(secret),
       role_(role),
       largest_(largest),
       most_queued_(most_queued),
-      lots_(draw),
+      random_(draw),
       frame_(std::move(frame)),
       timer_(io) {}
 
-Line::~Line() {
+ReplicaConnection::~ReplicaConnection() {
     *alive_ = false;
     drop();
 }
 
-void Line::drop() {
+void ReplicaConnection::drop() {
     timer_.cancel();
     error_code ignored;
     if (dialling_) dialling_->close(ignored);
@@ -35,7 +36,7 @@
     first_.clear();
 }
 
-void Line::send(FrameKind kind, std::string_view payload) {
+void ReplicaConnection::send(FrameKind kind, std::string_view payload) {
     if (channel_) {
         if (!channel_->send(kind, payload, most_queued_)) ++counts_.lost;
         return;
@@ -47,7 +48,7 @@
     dial();
 }
 
-void Line::dial() {
+void ReplicaConnection::dial() {
     if (dialling_ || channel_ || waiting_) return;
     ++counts_.dialled;
     dialling_ = std::make_shared<tcp::socket>(io_);
@@ -74,12 +75,12 @@
     });
 }
 
-void Line::broken() {
+void ReplicaConnection::broken() {
     ++counts_.broken;
     pause_ = std::min(kMaxBackoffMs, std::max(kInitialBackoffMs, 2 * pause_));
     waiting_ = true;
     timer_.expires_after(
-        std::chrono::microseconds(static_cast<long>(1000 * pause_ * (0.5 + lots_.unit() / 2))));
+        std::chrono::microseconds(static_cast<long>(1000 * pause_ * (0.5 + random_.unit() / 2))));
     timer_.async_wait([this, alive = alive_](error_code ec) {
         if (ec || !*alive) return;
         waiting_ = false;
--- a/src/lease_io/line.hpp
+++ b/src/lease_io/line.hpp
@@ -16,18 +16,18 @@
 // Limit of a payload that a client accepts from a replica, bytes; the largest one is a list of tasks.
 constexpr std::size_t kLargestAnswer = 1024 * 1024;
 
-class Line {
+class ReplicaConnection {
 public:
     using Frame = std::function<void(FrameKind, std::string_view)>;
 
     // `largest`: limit of a received payload, bytes; `most_queued`: limit of the send queue, bytes; `draw`:
     // seed of the random number generator; `frame` is called with each received frame. `io` and `secret`
     // must outlive the object.
-    Line(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role, std::size_t largest,
-         std::size_t most_queued, std::uint64_t draw, Frame frame);
-    ~Line();
-    Line(const Line&) = delete;
-    Line& operator=(const Line&) = delete;
+    ReplicaConnection(asio::io_context& io, tcp::endpoint to, const Secret& secret, Role role,
+                      std::size_t largest, std::size_t most_queued, std::uint64_t draw, Frame frame);
+    ~ReplicaConnection();
+    ReplicaConnection(const ReplicaConnection&) = delete;
+    ReplicaConnection& operator=(const ReplicaConnection&) = delete;
 
     // Connects now and reconnects even while there is nothing to send.
     void keep() { keep_ = true, dial(); }
@@ -51,7 +51,7 @@
     const Secret& secret_;
     const Role role_;
     const std::size_t largest_, most_queued_;
-    kelplb::Random lots_;
+    kelplb::Random random_;
     const Frame frame_;
     asio::steady_timer timer_;
     std::shared_ptr<tcp::socket> dialling_;
--- a/src/lease_io/rights.cpp
+++ b/src/lease_io/rights.cpp
@@ -14,7 +14,7 @@
 
 HolderSettings holder_settings(const KeepersSettings& settings, const std::string& name, Millis poll) {
     HolderSettings s;
-    s.id = drawn();
+    s.id = random_id();
     s.name = name;
     s.keepers = static_cast<std::uint32_t>(settings.keepers.size());
     s.margin = settings.margin;
@@ -24,51 +24,52 @@
 
 }  // namespace
 
-Rights::Rights(asio::io_context& io, const KeepersSettings& settings, const std::string& name, Millis poll)
+LeaseClient::LeaseClient(asio::io_context& io, const KeepersSettings& settings, const std::string& name,
+                         Millis poll)
     : io_(io),
       secret_(Secret::from_file(settings.secret_file)),
-      holder_(holder_settings(settings, name, poll), drawn()),
+      holder_(holder_settings(settings, name, poll), random_id()),
       timer_(io) {
     for (const tcp::endpoint& at : settings.keepers)
-        lines_.push_back(std::make_unique<Line>(io_, at, secret_, Role::client, kLargestAnswer, kMostQueued,
-                                                drawn(), [this](FrameKind kind, std::string_view payload) {
-                                                    std::string why;
-                                                    if (kind != FrameKind::answer) return;
-                                                    if (const auto answer = decode_answer(payload, why))
-                                                        holder_.heard(own_clock(), *answer);
-                                                    turn();
-                                                }));
+        lines_.push_back(std::make_unique<ReplicaConnection>(
+            io_, at, secret_, Role::client, kLargestAnswer, kMostQueued, random_id(),
+            [this](FrameKind kind, std::string_view payload) {
+                std::string why;
+                if (kind != FrameKind::answer) return;
+                if (const auto answer = decode_answer(payload, why)) holder_.heard(boottime_now(), *answer);
+                turn();
+            }));
 }
 
-Rights::~Rights() { *alive_ = false; }
+LeaseClient::~LeaseClient() { *alive_ = false; }
 
-void Rights::want(const std::string& task, Millis length, bool wait) {
+void LeaseClient::want(const std::string& task, Millis length, bool wait) {
     tasks_.insert(task);
-    holder_.want(own_clock(), task, length, wait);
+    holder_.want(boottime_now(), task, length, wait);
     turn();
 }
 
-void Rights::give_up(const std::string& task, const std::string& next) {
-    holder_.give_up(own_clock(), task, next);
+void LeaseClient::give_up(const std::string& task, const std::string& next) {
+    holder_.give_up(boottime_now(), task, next);
     turn();
 }
 
-bool Rights::leave_note(const std::string& task, const std::string& text) {
-    const bool taken = holder_.leave_note(own_clock(), task, text);
+bool LeaseClient::leave_note(const std::string& task, const std::string& text) {
+    const bool taken = holder_.leave_note(boottime_now(), task, text);
     turn();
     return taken;
 }
 
-std::optional<Holder::Right> Rights::right(const std::string& task) const {
-    return holder_.right(own_clock(), task);
+std::optional<Holder::Right> LeaseClient::right(const std::string& task) const {
+    return holder_.right(boottime_now(), task);
 }
 
-void Rights::turn() {
-    holder_.tick(own_clock());
+void LeaseClient::turn() {
+    holder_.tick(boottime_now());
     for (const Holder::Ask& ask : holder_.take())
         if (ask.keeper < lines_.size()) lines_[ask.keeper]->send(FrameKind::question, encode(ask.question));
     // Also wake at the end of each lease, so that the callback runs at once.
-    const Millis now = own_clock();
+    const Millis now = boottime_now();
     Millis due = holder_.due();
     for (const std::string& task : tasks_)
         if (const auto right = holder_.right(now, task)) due = std::min(due, right->until);
--- a/src/lease_io/rights.hpp
+++ b/src/lease_io/rights.hpp
@@ -17,12 +17,13 @@
 
 namespace cobaltshift::lease {
 
-class Rights {
+class LeaseClient {
 public:
     // `name`: display name of this process. `poll`: interval of requests while waiting in a queue, ms; 0:
     // default. Throws plan::SecretError.
-    Rights(asio::io_context& io, const KeepersSettings& settings, const std::string& name, Millis poll = 0);
-    ~Rights();
+    LeaseClient(asio::io_context& io, const KeepersSettings& settings, const std::string& name,
+                Millis poll = 0);
+    ~LeaseClient();
 
     void want(const std::string& task, Millis length, bool wait);
     // See lease::Holder for these.
@@ -30,14 +31,14 @@
     // The lease, if it may be acted upon now, by the clock of lease_io/clock.hpp.
     std::optional<Holder::Right> right(const std::string& task) const;
     Holder::State state(const std::string& task) const { return holder_.state(task); }
-    const Answer* last(const std::string& task) const { return holder_.last(task); }
+    const Response* last(const std::string& task) const { return holder_.last(task); }
     // See lease::Holder for these.
     bool leave_note(const std::string& task, const std::string& text);
     Holder::Note note_state(const std::string& task) const { return holder_.note_state(task); }
     std::string note(const std::string& task) const { return holder_.note(task); }
     // `told` is called after anything may have changed: a response arrived, a lease ended, a request timed
     // out. It runs from the event loop, never from within a call to this object.
-    void on_turn(std::function<void()> told) { told_ = std::move(told); }
+    void on_change(std::function<void()> told) { told_ = std::move(told); }
     const Holder::Counts& counts() const { return holder_.counts(); }
 
 private:
@@ -46,7 +47,7 @@
     asio::io_context& io_;
     const Secret secret_;
     Holder holder_;
-    std::vector<std::unique_ptr<Line>> lines_;
+    std::vector<std::unique_ptr<ReplicaConnection>> lines_;
     std::set<std::string> tasks_;
     asio::steady_timer timer_;
     std::function<void()> told_;
--- a/src/lease_io/run_command.cpp
+++ b/src/lease_io/run_command.cpp
@@ -43,7 +43,7 @@
 [[noreturn]] void guard(pid_t parent, pid_t group, const std::atomic<Millis>& end) {
     ::setpgid(0, 0);  // signals of the terminal or to the parent's group must not reach it
     for (;;) {
-        const Millis left = end.load() - own_clock();
+        const Millis left = end.load() - boottime_now();
         if (left <= 0 || ::getppid() != parent) {
             ::kill(-group, SIGKILL);
             ::_exit(0);
@@ -63,7 +63,7 @@
           rights_(io_, settings, command_.name) {}
 
     int run() {
-        rights_.on_turn([this] { on_lease_change(); });
+        rights_.on_change([this] { on_lease_change(); });
         wait_signals();
         wait_children();
         if (command_.wait_at_most > 0) {
@@ -87,11 +87,11 @@
         }
         const auto right = rights_.right(command_.task);
         if (child_ == 0) {
-            if (right && right->until - own_clock() > command_.grace) return start(*right);
-            const Answer* last = rights_.last(command_.task);
-            if (!right && last && !command_.wait && last->kind == Answer::Kind::refused)
+            if (right && right->until - boottime_now() > command_.grace) return start(*right);
+            const Response* last = rights_.last(command_.task);
+            if (!right && last && !command_.wait && last->kind == Response::Kind::refused)
                 return finish(RunCommand::kNotHeld, "held by " + last->by);
-            if (!right && last && last->kind == Answer::Kind::full)
+            if (!right && last && last->kind == Response::Kind::full)
                 return finish(RunCommand::kNotHeld, "the limit of tasks or waiters is reached");
             return;
         }
@@ -106,7 +106,7 @@
 
     void restart_end_timer() {
         timer_.expires_after(std::chrono::microseconds(
-            static_cast<long>(1000 * std::max(0.0, end_.at().load() - command_.grace - own_clock())) + 1));
+            static_cast<long>(1000 * std::max(0.0, end_.at().load() - command_.grace - boottime_now())) + 1));
         timer_.async_wait([this](error_code ec) {
             if (!ec && child_ > 0 && !ending_) terminate_command("the lease ends");
         });
@@ -118,7 +118,7 @@
                  {{"task", command_.task}, {"fence", fence_}, {"why", why}});
         ::kill(-child_, SIGTERM);
         ::kill(-child_, SIGCONT);  // a stopped process would not handle SIGTERM
-        const Millis left = std::min(end_.at().load() - own_clock(), command_.grace);
+        const Millis left = std::min(end_.at().load() - boottime_now(), command_.grace);
         timer_.expires_after(std::chrono::microseconds(static_cast<long>(1000 * std::max(0.0, left)) + 1));
         timer_.async_wait([this](error_code ec) {
             if (!ec && child_ > 0) ::kill(-child_, SIGKILL);
@@ -181,7 +181,7 @@
             int status = 0;
             if (child_ > 0 && ::waitpid(child_, &status, WNOHANG) == child_) {
                 const pid_t group = child_;
-                const bool in_time = own_clock() < end_.at().load();
+                const bool in_time = boottime_now() < end_.at().load();
                 child_ = 0;
                 ::kill(-group, SIGKILL);  // kills what the command left running in its group
                 end_guard();
@@ -222,7 +222,7 @@
     asio::io_context io_{1};
     asio::signal_set signals_, children_;
     asio::steady_timer timer_;
-    Rights rights_;
+    LeaseClient rights_;
     SharedEnd end_;
     Fence fence_ = 0;
     pid_t child_ = 0, guard_ = 0;
--- a/src/lease_io/settings.hpp
+++ b/src/lease_io/settings.hpp
@@ -23,7 +23,7 @@
     std::string fleet;               // cluster name; messages from replicas of another cluster are ignored
     std::string folder;              // data directory, used by this replica only
     std::size_t connections = 4096;  // limit of accepted connections
-    OfficeSettings office;           // agree.cluster_id and agree.member_slots follow from the above
+    LeaseServerSettings office;      // agree.cluster_id and agree.member_slots follow from the above
 };
 
 }  // namespace cobaltshift::lease
--- a/src/probing_io/shared_probing.cpp
+++ b/src/probing_io/shared_probing.cpp
@@ -6,7 +6,7 @@
 
 namespace cobaltshift::probing {
 
-using lease::own_clock;
+using lease::boottime_now;
 
 namespace {
 
@@ -38,12 +38,12 @@
       datagrams_(io, settings.listen, settings.instances, settings.core.number,
                  lease::Secret::from_file(keepers.secret_file),
                  [this](std::string_view message) {
-                     prober_.heard(own_clock(), message);
+                     prober_.heard(boottime_now(), message);
                      turn();
                  }),
       timer_(io),
       look_(io) {
-    rights_.on_turn([this] { turn(); });
+    rights_.on_change([this] { turn(); });
     look();
 }
 
@@ -51,13 +51,13 @@
 
 void SharedProbing::stop() {
     look_.cancel();
-    prober_.stop(own_clock());
+    prober_.stop(boottime_now());
     turn();
 }
 
 std::string SharedProbing::tally() const {
     const Prober::Counts& c = prober_.counts();
-    const Prober::Known known = prober_.known(own_clock());
+    const Prober::Known known = prober_.known(boottime_now());
     return "probing: " + std::to_string(c.probes) + " probes, " + std::to_string(c.gained) +
            " shards gained, " + std::to_string(c.lost) + " lost, " + std::to_string(c.told) + " told, " +
            std::to_string(c.heard) + " heard, " + std::to_string(c.refused) + " refused; servers " +
@@ -70,7 +70,7 @@
     std::size_t held = 0;
     for (std::uint32_t shard = 0; shard < settings_.core.shards; ++shard) held += prober_.holds(shard);
     m.gauge("cobaltshift_probing_shards", "held by this sidecar", count(held));
-    const Prober::Known known = prober_.known(own_clock());
+    const Prober::Known known = prober_.known(boottime_now());
     m.family("cobaltshift_probing_servers", MetricsText::Kind::gauge, "by the fleet's verdict");
     m.sample(count(known.good), {{"verdict", "good"}});
     m.sample(count(known.bad), {{"verdict", "bad"}});
@@ -98,7 +98,7 @@
     std::vector<ServerId> servers;
     for (const ServerInfo& info : sidecar_.listed())
         if (info.phase == Phase::on) servers.push_back(info.id);
-    prober_.listed(own_clock(), servers);
+    prober_.listed(boottime_now(), servers);
     turn();
     look_.expires_after(kLookEvery);
     look_.async_wait([this, alive = alive_](error_code ec) {
@@ -111,14 +111,14 @@
     again_ = true;
     if (std::exchange(turning_, true)) return;
     while (std::exchange(again_, false)) {
-        const Millis now = own_clock();
+        const Millis now = boottime_now();
         for (std::uint32_t shard = 0; shard < settings_.core.shards; ++shard)
             if (prober_.wants(shard)) prober_.right(now, shard, rights_.right(task_of(shard)));
         prober_.tick(now);
         carry_out();
     }
     turning_ = false;
-    const Millis due = prober_.due() - own_clock();
+    const Millis due = prober_.due() - boottime_now();
     if (due > 1e12) return timer_.cancel(), void();
     timer_.expires_after(std::chrono::microseconds(static_cast<long>(std::max(0.0, due) * 1000) + 100));
     timer_.async_wait([this, alive = alive_](error_code ec) {
@@ -135,8 +135,8 @@
         const auto at = sidecar_.endpoint_of(server);
         // The last look before the act: the clock, once more.
         const auto right = rights_.right(task_of(shard_of(server, settings_.core.shards)));
-        if (!at || !right || right->until < own_clock() + settings_.core.probe) {
-            prober_.probed(own_clock(), server, std::nullopt);
+        if (!at || !right || right->until < boottime_now() + settings_.core.probe) {
+            prober_.probed(boottime_now(), server, std::nullopt);
             continue;
         }
         probes_.probe(server, *at);
@@ -153,7 +153,7 @@
 void SharedProbing::ended(ServerId server, Outcome outcome) {
     std::optional<bool> good;
     if (outcome != Outcome::not_sent) good = outcome == Outcome::completed;
-    prober_.probed(own_clock(), server, good);
+    prober_.probed(boottime_now(), server, good);
     turn();
 }
 
--- a/src/probing_io/shared_probing.hpp
+++ b/src/probing_io/shared_probing.hpp
@@ -37,7 +37,7 @@
     Sidecar& sidecar_;
     const ProbingSettings settings_;
     Prober prober_;
-    lease::Rights rights_;
+    lease::LeaseClient rights_;
     Upstream probes_;
     Datagrams datagrams_;
     asio::steady_timer timer_, look_;
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -1,7 +1,7 @@
 // One Raft member (Ongaro and Ousterhout 2014) with pre-vote, check-quorum, linearizable reads by read-index,
-// leadership transfer and single-server membership changes. Main type: RaftNode. Used by lease::Office and
-// control::Replica, both in the programs and in simulations. Free of I/O and not thread-safe.
-// See docs/design/agree.md and docs/design/control-safety.md.
+// leadership transfer and single-server membership changes. Main type: RaftNode. Used by lease::LeaseServer
+// and control::Replica, both in the programs and in simulations. Free of I/O and not thread-safe. See
+// docs/design/agree.md and docs/design/control-safety.md.
 //
 // The caller passes in events with the current time: on_message(), tick(), propose(), confirm_leadership().
 // After each one, while has_ready(), it calls take_ready(), carries out the result in the order given there,
--- a/src/settings_file/settings_file.cpp
+++ b/src/settings_file/settings_file.cpp
@@ -48,7 +48,7 @@
     s.listen = {listen.address(), listen.port()};
     probing.count("shards", s.core.shards, 1, probing::kMaxShards);
     probing.number("interval_ms", s.core.interval, 1000, 3600000);
-    probing.number("length_ms", s.length, lease::kShortest, 900000);
+    probing.number("length_ms", s.length, lease::kMinLeaseLength, 900000);
     probing.number("probe_ms", s.core.probe, 10, 60000);
     probing.count("listeners", s.core.listeners, 0, static_cast<double>(instances.size() - 1));
     probing.count("stand_by", s.core.stand_by, 1, 16);
@@ -66,7 +66,7 @@
     site::SiteSettings& s = settings.site.emplace();
     Section site = root.section("site");
     site.require("discovery"), site.endpoint("discovery", s.discovery);
-    site.number("length_ms", s.length, lease::kShortest, lease::kLongest);
+    site.number("length_ms", s.length, lease::kMinLeaseLength, lease::kMaxLeaseLength);
     site.number("look_ms", s.look, 20, 10000);
     site::WatchSettings& watch = s.lead.watch;
     site.number("suspect_ms", watch.suspect, 0, 600000);
--- a/src/sim/check/describe.cpp
+++ b/src/sim/check/describe.cpp
@@ -88,7 +88,7 @@
     return s.get();
 }
 
-std::uint64_t Describe::of(const lease::Office& o, raft::Millis now) {
+std::uint64_t Describe::of(const lease::LeaseServer& o, raft::Millis now) {
     Sum s(now);
     s.number(of(o.keeper_, now)).text(o.book_.save()).number(o.applied_).number(o.leads_).number(o.led_term_);
     for (const auto& [task, held] : o.held_)
@@ -109,7 +109,7 @@
 
 std::uint64_t Describe::of(const lease::Holder& h, raft::Millis now) {
     Sum s(now);
-    s.lots(h.lots_).number(h.keeper_).number(h.next_number_);
+    s.lots(h.random_).number(h.keeper_).number(h.next_number_);
     for (const auto& [task, w] : h.wanted_)
         s.text(task)
             .real(w.length)
@@ -136,7 +136,7 @@
     return at == holder.wanted_.end() || at->second.number != number ? otherwise : at->second.asked_at;
 }
 
-void Describe::forget_waits(lease::Office& office, raft::Millis now) {
+void Describe::forget_waits(lease::LeaseServer& office, raft::Millis now) {
     for (auto& [task, held] : office.held_) {
         office.lapses_.erase({held.until, task});
         held.until = now;
--- a/src/sim/check/describe.hpp
+++ b/src/sim/check/describe.hpp
@@ -9,13 +9,13 @@
 
 struct Describe {
     static std::uint64_t of(const raft::RaftNode& keeper, raft::Millis now);
-    static std::uint64_t of(const lease::Office& office, raft::Millis now);
+    static std::uint64_t of(const lease::LeaseServer& office, raft::Millis now);
     static std::uint64_t of(const lease::Holder& holder, raft::Millis now);
     // When the holder handed out the question of this number, if that is its newest about the task.
     static raft::Millis asked_at(const lease::Holder& holder, const std::string& task, std::uint64_t number,
                                  raft::Millis otherwise);
     // The guard "a new leader waits out what its predecessor may have granted", taken out.
-    static void forget_waits(lease::Office& office, raft::Millis now);
+    static void forget_waits(lease::LeaseServer& office, raft::Millis now);
 };
 
 }  // namespace cobaltshift::check
--- a/src/sim/check/lease_check.cpp
+++ b/src/sim/check/lease_check.cpp
@@ -245,15 +245,15 @@
     void boot(std::size_t k) {
         raft::PersistentState& disk = own(disks_[k]);
         ++disk.starts;
-        lease::OfficeSettings s;
+        lease::LeaseServerSettings s;
         s.agree.cluster_id = 7;
         s.agree.number = static_cast<std::uint32_t>(k);
         s.agree.member_slots = kKeepers;
         s.agree.heartbeat = kHeartbeat, s.agree.election = kElection;
         s.drift = what_.out == Guard::no_drift ? 0 : kDrift;
         s.waiter_silence = 2000;
-        offices_[k] =
-            std::make_shared<lease::Office>(s, disk, clock(k), what_.seed * 1000 + k * 100 + disk.starts);
+        offices_[k] = std::make_shared<lease::LeaseServer>(s, disk, clock(k),
+                                                           what_.seed * 1000 + k * 100 + disk.starts);
         back_[k] = 0;
         pump(k);
     }
@@ -268,11 +268,11 @@
     }
 
     void pump(std::size_t k) {
-        lease::Office& office = own(offices_[k]);
+        lease::LeaseServer& office = own(offices_[k]);
         described_[k] = 0;
         try {
             while (office.ready()) {
-                lease::Office::Output output = office.take(clock(k));
+                lease::LeaseServer::Output output = office.take(clock(k));
                 const raft::Ready& ready = output.ready;
                 raft::PersistentState& disk = own(disks_[k]);
                 if (ready.vote && what_.out != Guard::vote_not_written)
@@ -308,7 +308,7 @@
             broken(name(k) + ": " + fault.what());
         }
     }
-    void leads(std::size_t k, lease::Office& office) {
+    void leads(std::size_t k, lease::LeaseServer& office) {
         led_[k] = office.keeper().term();
         if (what_.out == Guard::no_wait_of_a_new_leader) Describe::forget_waits(office, clock(k));
         note(name(k) + " leads in term " + std::to_string(office.keeper().term()));
@@ -355,7 +355,7 @@
         if (flight.to < kKeepers) {
             const std::size_t k = flight.to;
             if (!offices_[k]) return;
-            lease::Office& office = own(offices_[k]);
+            lease::LeaseServer& office = own(offices_[k]);
             if (flight.kind == Flight::Kind::message) {
                 if (const auto message = raft::decode_message(*flight.bytes, why))
                     office.heard(clock(k), *message);
@@ -366,7 +366,7 @@
         }
         const std::size_t h = flight.to - kKeepers;
         if (auto answer = lease::decode_answer(*flight.bytes, why)) {
-            if (what_.out == Guard::right_from_answer && answer->kind == lease::Answer::Kind::held)
+            if (what_.out == Guard::right_from_answer && answer->kind == lease::Response::Kind::held)
                 answer->length += clock(flight.to) -
                                   Describe::asked_at(*holders_[h], kTask, answer->number, clock(flight.to));
             own(holders_[h]).heard(clock(flight.to), *answer);
@@ -442,7 +442,7 @@
     Millis now_ = 0, end_ = 0;
     std::array<double, kKeepers + kHolders> rate_{};
     std::array<std::shared_ptr<raft::PersistentState>, kKeepers> disks_;
-    std::array<std::shared_ptr<lease::Office>, kKeepers> offices_;
+    std::array<std::shared_ptr<lease::LeaseServer>, kKeepers> offices_;
     std::array<std::shared_ptr<lease::Holder>, kHolders> holders_;
     mutable std::array<std::uint64_t, kKeepers> described_{};  // 0: to be made anew
     std::array<raft::Term, kKeepers> led_{};                   // of which it is known that it leads
--- a/src/sim/checkers/notes.cpp
+++ b/src/sim/checkers/notes.cpp
@@ -25,7 +25,7 @@
         for (const auto& [task, values] : left_) {
             const std::uint64_t highest = values.rbegin()->first;
             // By the keeper that has applied most.
-            const lease::Office* best = nullptr;
+            const lease::LeaseServer* best = nullptr;
             for (const KeeperDesk* desk : scene_.all<KeeperDesk>())
                 if (desk->office() && (!best || desk->office()->applied() > best->applied()))
                     best = desk->office();
--- a/src/sim/models/keeper.cpp
+++ b/src/sim/models/keeper.cpp
@@ -84,7 +84,7 @@
     head_.entries.clear();
     head_.snapshot = {};
     ++life_;
-    lease::OfficeSettings s;
+    lease::LeaseServerSettings s;
     s.agree.cluster_id = kFleet;
     s.agree.number = static_cast<std::uint32_t>(number_);
     s.agree.member_slots = settings_.keepers;
@@ -93,7 +93,8 @@
     s.drift = settings_.drift;
     s.waiter_silence = 2400;
     s.compact_after = settings_.compact;
-    office_ = std::make_unique<lease::Office>(s, std::move(found.stored), own(), lots_.below(1ULL << 62));
+    office_ =
+        std::make_unique<lease::LeaseServer>(s, std::move(found.stored), own(), lots_.below(1ULL << 62));
     scene_.bus.tell(KeeperTurned{number_, "starts"});
     pump();
 }
@@ -127,7 +128,7 @@
 // By what they are, not by what a leader remembers of them: one that is down, or whose folder was lost a
 // moment ago, would still count.
 bool KeeperDesk::others_whole() const {
-    const lease::Office* leader = nullptr;
+    const lease::LeaseServer* leader = nullptr;
     for (const KeeperDesk* desk : scene_.all<KeeperDesk>())
         if (desk->number_ != number_ && desk->office() && desk->office()->keeper().leads())
             if (!leader || desk->office()->keeper().term() > leader->keeper().term()) leader = desk->office();
@@ -200,7 +201,7 @@
     });
 }
 
-bool KeeperDesk::persist(const lease::Office::Output& output) {
+bool KeeperDesk::persist(const lease::LeaseServer::Output& output) {
     const raft::Ready& ready = output.ready;
     if (!ready.writes()) return true;
     if (ready.snapshot) {
@@ -229,7 +230,7 @@
 void KeeperDesk::pump() {
     const std::uint64_t life = life_;
     while (life_ == life && office_ && !busy_ && !paused_ && office_->ready()) {
-        lease::Office::Output output = office_->take(own());
+        lease::LeaseServer::Output output = office_->take(own());
         if (!persist(output)) {  // it can promise nothing: what its folder holds is all that counts
             stop();
             disk_.crash();
@@ -246,7 +247,8 @@
         if (slow_ > 0 && output.ready.writes()) {
             busy_ = true;
             scene_.kernel.after(
-                slow_, [this, life, output = std::make_shared<lease::Office::Output>(std::move(output))] {
+                slow_,
+                [this, life, output = std::make_shared<lease::LeaseServer::Output>(std::move(output))] {
                     if (life_ != life) return;
                     busy_ = false;
                     finish(std::move(*output));
@@ -259,7 +261,7 @@
     if (life_ == life) schedule();
 }
 
-void KeeperDesk::finish(lease::Office::Output output) {
+void KeeperDesk::finish(lease::LeaseServer::Output output) {
     office_->stored();
     for (const raft::Committed& one : output.ready.committed) {
         const std::string bytes = raft::encode(one.entry);
--- a/src/sim/models/keeper.hpp
+++ b/src/sim/models/keeper.hpp
@@ -39,8 +39,8 @@
     void start() override;
 
     Network::Endpoint endpoint() const { return endpoint_; }
-    const lease::Office* office() const { return office_.get(); }  // null while it is dead
-    void arrived(const std::string& bytes);                        // from a keeper
+    const lease::LeaseServer* office() const { return office_.get(); }  // null while it is dead
+    void arrived(const std::string& bytes);                             // from a keeper
     // From a holder, who is answered by its endpoint.
     void asked(Network::Endpoint from, const std::string& bytes, Network::Arrive answer);
 
@@ -61,9 +61,9 @@
     void later(Task what);
     void run(Task what);
     void pump();
-    void finish(lease::Office::Output output);
+    void finish(lease::LeaseServer::Output output);
     void schedule();
-    bool persist(const lease::Office::Output& output);
+    bool persist(const lease::LeaseServer::Output& output);
     void newcomer();
     Millis own() const { return clock_.at(scene_.kernel.now()); }
 
@@ -74,7 +74,7 @@
     Stream lots_;
     Disk disk_;
     const OwnClock clock_;
-    std::unique_ptr<lease::Office> office_;
+    std::unique_ptr<lease::LeaseServer> office_;
     std::uint64_t life_ = 0, timer_ = 0;
     raft::PersistentState head_;  // what the journal's head says: fleet, id, starts
     bool paused_ = false, busy_ = false, die_in_write_ = false, leads_ = false;
--- a/src/site_cli.cpp
+++ b/src/site_cli.cpp
@@ -100,8 +100,8 @@
 }
 
 int SiteCli::status() {
-    lease::Question q;
-    q.kind = lease::Question::Kind::list;
+    lease::Request q;
+    q.kind = lease::Request::Kind::list;
     q.holder = q.number = 1;
     q.name = "operator";
     q.task = site::kLeadTask;
@@ -113,7 +113,7 @@
             std::string why;
             if (kind != lease::FrameKind::answer) return false;
             const auto answer = lease::decode_answer(payload, why);
-            if (!answer || answer->kind != lease::Answer::Kind::listed) return false;
+            if (!answer || answer->kind != lease::Response::Kind::listed) return false;
             // TASK, holder, ..., note, by tabs.
             const std::string line = answer->text.substr(0, answer->text.find('\n'));
             if (!line.starts_with(site::kLeadTask + "\t")) return true;
--- a/src/site_io/lead_node.cpp
+++ b/src/site_io/lead_node.cpp
@@ -11,8 +11,8 @@
 
 namespace cobaltshift::site {
 
+using lease::boottime_now;
 using lease::error_code;
-using lease::own_clock;
 
 namespace {
 
@@ -45,21 +45,21 @@
       datagrams_(io, probing.listen, probing.instances, probing.core.number,
                  lease::Secret::from_file(keepers.secret_file),
                  [this](std::string_view message) {
-                     ear_.heard(own_clock(), message);
+                     ear_.heard(boottime_now(), message);
                      heard();
                  }),
       rights_(io, keepers, name, settings.length),
-      asker_(lease::drawn()),
+      asker_(lease::random_id()),
       discovery_(io, config_, {[this](const HostList& list) { told(list); }, [] {}}),
       look_(io) {
     for (const auto& at : keepers.keepers)
-        lines_.push_back(std::make_unique<lease::Line>(
-            io_, at, secret_, lease::Role::client, lease::kLargestAnswer, kMostQueued, lease::drawn(),
+        lines_.push_back(std::make_unique<lease::ReplicaConnection>(
+            io_, at, secret_, lease::Role::client, lease::kLargestAnswer, kMostQueued, lease::random_id(),
             [this](lease::FrameKind kind, std::string_view payload) {
                 std::string why;
                 if (kind != lease::FrameKind::answer) return;
                 const auto answer = lease::decode_answer(payload, why);
-                if (!answer || answer->kind != lease::Answer::Kind::listed || answer->number != question_)
+                if (!answer || answer->kind != lease::Response::Kind::listed || answer->number != question_)
                     return;
                 // TASK ... NOTE, by tabs; of no order yet there is no row.
                 orders_.clear();
@@ -68,7 +68,7 @@
                     orders_ =
                         read_orders(answer->text.substr(0, end).substr(answer->text.rfind('\t', end) + 1));
             }));
-    rights_.on_turn([this] { turn(); });
+    rights_.on_change([this] { turn(); });
     rights_.want(kLeadTask, settings_.length, true);
     discovery_.watch(true);
     look();
@@ -110,19 +110,19 @@
         sites[server.first] = server.second;
         all.push_back(server.first);
     }
-    ear_.listed(own_clock(), all);
-    lead_.listed(own_clock(), sites);
+    ear_.listed(boottime_now(), all);
+    lead_.listed(boottime_now(), sites);
 }
 
 void LeadNode::heard() {
-    for (const auto& found : ear_.take().found) lead_.verdict(own_clock(), found.server, found.good);
+    for (const auto& found : ear_.take().found) lead_.verdict(boottime_now(), found.server, found.good);
 }
 
 void LeadNode::ask_orders() {
-    if (own_clock() < orders_due_) return;
-    orders_due_ = own_clock() + kOrdersEvery;
-    lease::Question q;
-    q.kind = lease::Question::Kind::list;
+    if (boottime_now() < orders_due_) return;
+    orders_due_ = boottime_now() + kOrdersEvery;
+    lease::Request q;
+    q.kind = lease::Request::Kind::list;
     q.holder = asker_;
     q.number = ++question_;
     q.name = name_;
@@ -132,7 +132,7 @@
 
 // Looks at the right, at what has become of the note, and at all sites.
 void LeadNode::turn() {
-    const Millis now = own_clock();
+    const Millis now = boottime_now();
     if (stopped_) {
         if (rights_.state(kLeadTask) == lease::Holder::State::idle) look_.cancel(), stopped_();
         return;
--- a/src/site_io/lead_node.hpp
+++ b/src/site_io/lead_node.hpp
@@ -47,8 +47,8 @@
     Book logged_;
     probing::Prober ear_;  // of what probers tell; it probes nothing itself
     probing::Datagrams datagrams_;
-    lease::Rights rights_;
-    std::vector<std::unique_ptr<lease::Line>> lines_;  // for orders
+    lease::LeaseClient rights_;
+    std::vector<std::unique_ptr<lease::ReplicaConnection>> lines_;  // for orders
     std::uint64_t question_ = 0, asker_;
     Discovery discovery_;
     std::map<std::string, std::pair<kelplb::ServerId, std::string>> servers_;  // by name: number and site
--- a/src/site_io/orders.cpp
+++ b/src/site_io/orders.cpp
@@ -35,11 +35,11 @@
 Ordered order(const lease::KeepersSettings& settings, const std::string& site, bool drained,
               lease::Millis within) {
     lease::asio::io_context io(1);
-    lease::Rights rights(io, settings, "operator");
+    lease::LeaseClient rights(io, settings, "operator");
     lease::asio::steady_timer end(io);
     Ordered result = Ordered::not_left;
     bool asked = false, over = false;
-    rights.on_turn([&] {
+    rights.on_change([&] {
         if (over) {
             if (rights.state(kOrderTask) == lease::Holder::State::idle) io.stop();
             return;
@@ -53,7 +53,7 @@
         }
         if (!asked) {
             const auto* last = rights.last(kOrderTask);
-            if (last && last->kind == lease::Answer::Kind::queued) result = Ordered::held_by_another;
+            if (last && last->kind == lease::Response::Kind::queued) result = Ordered::held_by_another;
             return;
         }
         if (state == lease::Holder::Note::on_its_way) return;
--- a/tests/lease_io_test.cpp
+++ b/tests/lease_io_test.cpp
@@ -210,7 +210,7 @@
 
 TEST(KeeperNode, LeaseIsAcquiredSurvivesALeaderChangeAndIsHandedOver) {
     Replicas replicas;
-    lease::Rights first(replicas.io, replicas.all, "first"), second(replicas.io, replicas.all, "second");
+    lease::LeaseClient first(replicas.io, replicas.all, "first"), second(replicas.io, replicas.all, "second");
     first.want("job", 1000, true);
     ASSERT_TRUE(replicas.until([&] { return first.right("job").has_value(); }));
     second.want("job", 1000, true);
@@ -237,7 +237,7 @@
 
 TEST(KeeperNode, WithoutAMajorityLeasesExpireAndTokensNeverDecrease) {
     Replicas replicas;
-    lease::Rights holder(replicas.io, replicas.all, "holder");
+    lease::LeaseClient holder(replicas.io, replicas.all, "holder");
     holder.want("job", 500, true);
     ASSERT_TRUE(replicas.until([&] { return holder.right("job").has_value(); }));
     const auto fence = holder.right("job")->fence;
@@ -296,13 +296,13 @@
         {"a recorded proof of another connection", client + frame(65, "\x01" + std::string(64, 'a'))},
     };
     for (const auto& [what, bytes] : table) EXPECT_TRUE(closed_after(replicas, bytes)) << what;
-    lease::Rights holder(replicas.io, replicas.all, "holder");
+    lease::LeaseClient holder(replicas.io, replicas.all, "holder");
     holder.want("job", 500, true);
     EXPECT_TRUE(replicas.until([&] { return holder.right("job").has_value(); }));
     // A client with another secret gets no lease.
     lease::KeepersSettings other = replicas.all;
     other.secret_file = replicas.secrets.write("other", "another secret of enough bytes");
-    lease::Rights stranger(replicas.io, other, "stranger");
+    lease::LeaseClient stranger(replicas.io, other, "stranger");
     stranger.want("other job", 500, true);
     EXPECT_TRUE(replicas.until([&] { return stranger.counts().unanswered >= 3; }));
     EXPECT_FALSE(stranger.right("other job"));
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -441,7 +441,7 @@
         EXPECT_EQ(why, row.why) << row.what;
     }
     EXPECT_TRUE(raft::decode_message(raw({0x08, 1, 0x20, 1, 0xf8, 1, 5}), why)) << "a field of a newer build";
-    lease::Question q;
+    lease::Request q;
     q.holder = 3, q.task = "t";
     ASSERT_TRUE(lease::decode_question(lease::encode(q), why));
     q.length = 1;
@@ -452,7 +452,7 @@
     q.task.clear();
     EXPECT_FALSE(lease::decode_question(lease::encode(q), why));
     EXPECT_EQ(why, "the task is missing");
-    lease::Book book;
+    lease::LeaseTable book;
     EXPECT_FALSE(book.load("\x1a\x7f"));
     EXPECT_TRUE(book.tasks().empty());
 }
@@ -491,35 +491,37 @@
 
 TEST(Book, FencingTokensIncreaseAndTheQueueKeepsItsOrder) {
     using Kind = lease::Op::Kind;
-    lease::Book book;
+    lease::LeaseTable book;
     EXPECT_EQ(book.apply(op(Kind::want, 1)).fence, 1U);
-    EXPECT_EQ(book.apply(op(Kind::want, 2)).outcome, lease::Book::Outcome::queued);
-    EXPECT_EQ(book.apply(op(Kind::want, 3)).outcome, lease::Book::Outcome::queued);
-    EXPECT_EQ(book.apply(op(Kind::want, 4, 0, false)).outcome, lease::Book::Outcome::refused);
-    EXPECT_EQ(book.apply(op(Kind::lapse, 0, 9)).outcome, lease::Book::Outcome::nothing) << "not its fence";
-    EXPECT_EQ(book.apply(op(Kind::release, 2, 1)).outcome, lease::Book::Outcome::nothing) << "not its holder";
+    EXPECT_EQ(book.apply(op(Kind::want, 2)).outcome, lease::LeaseTable::Outcome::queued);
+    EXPECT_EQ(book.apply(op(Kind::want, 3)).outcome, lease::LeaseTable::Outcome::queued);
+    EXPECT_EQ(book.apply(op(Kind::want, 4, 0, false)).outcome, lease::LeaseTable::Outcome::refused);
+    EXPECT_EQ(book.apply(op(Kind::lapse, 0, 9)).outcome, lease::LeaseTable::Outcome::nothing)
+        << "not its fence";
+    EXPECT_EQ(book.apply(op(Kind::release, 2, 1)).outcome, lease::LeaseTable::Outcome::nothing)
+        << "not its holder";
     lease::Op release = op(Kind::release, 1, 1);
     release.next = "h3";  // handed over, ahead of the first waiter
     EXPECT_EQ(book.apply(release).to, 3U);
     EXPECT_EQ(book.find("probe")->fence, 2U);
-    EXPECT_EQ(book.apply(op(Kind::lapse, 0, 1)).outcome, lease::Book::Outcome::nothing)
+    EXPECT_EQ(book.apply(op(Kind::lapse, 0, 1)).outcome, lease::LeaseTable::Outcome::nothing)
         << "of a right that is over";
     EXPECT_EQ(book.apply(op(Kind::lapse, 0, 2)).to, 2U);
     book.apply(op(Kind::release, 2, 3));
     EXPECT_EQ(book.find("probe"), nullptr);
     EXPECT_EQ(book.apply(op(Kind::want, 1)).fence, 4U) << "also of a task long forgotten";
-    lease::Book again;
+    lease::LeaseTable again;
     ASSERT_TRUE(again.load(book.save()));
     EXPECT_EQ(again.save(), book.save());
     EXPECT_EQ(again.digest(), book.digest());
     for (lease::HolderId h = 10; h < 10 + lease::kMaxQueue; ++h) book.apply(op(Kind::want, h));
-    EXPECT_EQ(book.apply(op(Kind::want, 999)).outcome, lease::Book::Outcome::full);
+    EXPECT_EQ(book.apply(op(Kind::want, 999)).outcome, lease::LeaseTable::Outcome::full);
 }
 
 TEST(Book, NoteNeedsTheCurrentLeaseAndOutlivesItsHolder) {
     using Kind = lease::Op::Kind;
-    using Outcome = lease::Book::Outcome;
-    lease::Book book;
+    using Outcome = lease::LeaseTable::Outcome;
+    lease::LeaseTable book;
     const auto note = [&](lease::HolderId holder, lease::Fence fence, std::uint64_t number,
                           const std::string& text) {
         lease::Op one = op(Kind::note, holder, fence);
@@ -534,7 +536,7 @@
     EXPECT_EQ(note(1, 1, 9, "else"), Outcome::noted) << "doubled: it has been left";
     EXPECT_EQ(book.note("probe"), "step 2");
     EXPECT_EQ(note(1, 2, 10, "x"), Outcome::nothing) << "a right that is not there yet";
-    lease::Book again;
+    lease::LeaseTable again;
     ASSERT_TRUE(again.load(book.save()));
     EXPECT_EQ(again.note("probe"), "step 2");
     EXPECT_EQ(again.notes().at("probe").number, 9U);
@@ -565,8 +567,8 @@
     EXPECT_FALSE(holder.leave_note(0, "t", "x")) << "no right";
     holder.want(0, "t", 1000, true);
     holder.tick(0);
-    lease::Answer a;
-    a.kind = lease::Answer::Kind::held, a.holder = 7, a.task = "t", a.fence = 3, a.length = 1000;
+    lease::Response a;
+    a.kind = lease::Response::Kind::held, a.holder = 7, a.task = "t", a.fence = 3, a.length = 1000;
     a.number = holder.take().at(0).question.number, a.text = "before";
     holder.heard(10, a);
     EXPECT_EQ(holder.note("t"), "before");
@@ -576,7 +578,7 @@
     holder.tick(20);
     const auto asked = holder.take();
     ASSERT_EQ(asked.size(), 1U);
-    EXPECT_EQ(asked[0].question.kind, lease::Question::Kind::note);
+    EXPECT_EQ(asked[0].question.kind, lease::Request::Kind::note);
     EXPECT_EQ(asked[0].question.fence, 3U);
     EXPECT_EQ(holder.note_state("t"), lease::Holder::Note::on_its_way);
     EXPECT_EQ(holder.note("t"), "before") << "not known to be left";
@@ -586,13 +588,13 @@
     for (double now = 20; now < 700 && again.empty(); now += 10) {
         holder.tick(now);
         for (auto& ask : holder.take())
-            if (ask.question.kind == lease::Question::Kind::note) again.push_back(ask);
+            if (ask.question.kind == lease::Request::Kind::note) again.push_back(ask);
     }
     ASSERT_EQ(again.size(), 1U);
     EXPECT_GT(again[0].question.number, asked[0].question.number);
     EXPECT_NE(again[0].keeper, asked[0].keeper);
-    lease::Answer done;
-    done.kind = lease::Answer::Kind::done, done.holder = 7, done.task = "t", done.fence = 3;
+    lease::Response done;
+    done.kind = lease::Response::Kind::done, done.holder = 7, done.task = "t", done.fence = 3;
     done.number = asked[0].question.number;
     holder.heard(700, done);
     EXPECT_EQ(holder.note_state("t"), lease::Holder::Note::on_its_way);
@@ -607,18 +609,18 @@
 }
 
 TEST(Book, StateAtAllLimitsFitsIntoOneSnapshot) {
-    lease::Book book;
+    lease::LeaseTable book;
     for (std::size_t n = 0; n < lease::kMaxTasks + 1; ++n) {
         lease::Op one = op(lease::Op::Kind::want, n + 1);
         one.task = std::to_string(n);
         one.task.resize(lease::kMaxName, 't'), one.name.assign(lease::kMaxName, 'n');
-        EXPECT_EQ(book.apply(one).outcome,
-                  n < lease::kMaxTasks ? lease::Book::Outcome::granted : lease::Book::Outcome::full);
+        EXPECT_EQ(book.apply(one).outcome, n < lease::kMaxTasks ? lease::LeaseTable::Outcome::granted
+                                                                : lease::LeaseTable::Outcome::full);
         one.holder = 1'000'000 + n;
         if (n < lease::kMaxTasks) book.apply(one);
     }
     EXPECT_LT(book.save().size(), raft::kMaxSnapshotBytes);
-    lease::Book again;
+    lease::LeaseTable again;
     EXPECT_TRUE(again.load(book.save()));
     EXPECT_EQ(again.tasks().size(), lease::kMaxTasks);
 }
@@ -644,14 +646,14 @@
         s.id = 42, s.name = "me", s.margin = 100;
         return s;
     }
-    lease::Question ask(double now) {
+    lease::Request ask(double now) {
         holder.tick(now);
         auto out = holder.take();
-        return out.empty() ? lease::Question{} : out.back().question;
+        return out.empty() ? lease::Request{} : out.back().question;
     }
-    lease::Answer held(const lease::Question& q, lease::Fence fence = 5) {
-        lease::Answer a;
-        a.kind = lease::Answer::Kind::held, a.holder = q.holder, a.number = q.number, a.task = q.task;
+    lease::Response held(const lease::Request& q, lease::Fence fence = 5) {
+        lease::Response a;
+        a.kind = lease::Response::Kind::held, a.holder = q.holder, a.number = q.number, a.task = q.task;
         a.fence = fence, a.length = q.length;
         return a;
     }
@@ -697,7 +699,7 @@
     me.holder.give_up(20, "probe", "you");
     EXPECT_FALSE(me.holder.right(21, "probe"));
     const auto q = me.ask(21);
-    EXPECT_EQ(q.kind, lease::Question::Kind::release);
+    EXPECT_EQ(q.kind, lease::Request::Kind::release);
     EXPECT_EQ(q.fence, 5U);
     EXPECT_EQ(q.next, "you");
     me.holder.heard(30, me.held(q));  // a delayed response
@@ -715,8 +717,8 @@
         lease::Holder holder(s, n * 7919);
         holder.want(0, "t", 9000, false);
         holder.tick(0);
-        lease::Answer a;
-        a.kind = lease::Answer::Kind::held, a.holder = s.id, a.task = "t", a.fence = 1, a.length = 9000;
+        lease::Response a;
+        a.kind = lease::Response::Kind::held, a.holder = s.id, a.task = "t", a.fence = 1, a.length = 9000;
         a.number = holder.take().at(0).question.number;
         holder.heard(1, a);
         ++by_slot[static_cast<int>(holder.due() / 100)];
