--- a/src/lab/plan_path.cpp
+++ b/src/lab/plan_path.cpp
@@ -107,26 +107,27 @@
         f.meter.listed(servers_, true);
         f.client = std::make_unique<plan::Client>(
             io_, clock_, name, seed * 1000 + number, settings, plan::Secret(),
-            plan::Client::Handlers{
-                [this, &f](std::size_t p) {
-                    f.report_at[p] = clock_.now();
-                    return f.meter.report(p, f.follower.seen());
-                },
-                [this, &f](std::size_t p, std::uint64_t sequence, bool full) {
-                    f.meter.acknowledged(p, sequence, full);
-                    const Millis now = clock_.now();
-                    for (auto& [at, heard] : f.failures)
-                        if (at <= f.report_at[p] && !std::exchange(heard[p], true))
-                            parts_.reported.push_back(now - at);
-                },
-                [this, &f](std::size_t, Millis asked_at, const plan::Plan& plan) {
-                    const auto taken = f.follower.take(clock_.now(), asked_at, plan);
-                    if (f.told_at < 0 && left_alone(f)) f.told_at = clock_.now();
-                    return taken == plan::Follower::Taken::taken || taken == plan::Follower::Taken::renewed;
-                },
-                [this, &f](std::size_t p) {
-                    return f.follower.holds(p, clock_.now()) ? f.follower.seen()[p] : plan::PlanId{};
-                }});
+            plan::Client::Handlers{[this, &f](std::size_t p) {
+                                       f.report_at[p] = clock_.now();
+                                       return f.meter.report(p, f.follower.seen());
+                                   },
+                                   [this, &f](std::size_t p, std::uint64_t sequence, bool full) {
+                                       f.meter.acknowledged(p, sequence, full);
+                                       const Millis now = clock_.now();
+                                       for (auto& [at, heard] : f.failures)
+                                           if (at <= f.report_at[p] && !std::exchange(heard[p], true))
+                                               parts_.reported.push_back(now - at);
+                                   },
+                                   [this, &f](std::size_t, Millis asked_at, const plan::Plan& plan) {
+                                       const auto taken = f.follower.apply(clock_.now(), asked_at, plan);
+                                       if (f.told_at < 0 && left_alone(f)) f.told_at = clock_.now();
+                                       return taken == plan::Follower::ApplyResult::accepted ||
+                                              taken == plan::Follower::ApplyResult::renewed;
+                                   },
+                                   [this, &f](std::size_t p) {
+                                       return f.follower.holds(p, clock_.now()) ? f.follower.seen()[p]
+                                                                                : plan::PlanId{};
+                                   }});
         return made;
     }
     bool left_alone(const Forwarder& f) const {
@@ -153,7 +154,7 @@
                 ++met_;
                 if (failed_at_ < 0) failed_at_ = now;
                 f.failures.push_back({now, {}});
-                if (prompt_) f.client->news();
+                if (prompt_) f.client->report_early();
             }
             ask(f);
         });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -45,12 +45,12 @@
     asio::signal_set stop(io, SIGTERM, SIGINT), reload(io, SIGHUP);
     const ProgramSettings first = settings_of(settings_file);
     Node node(io, load_config(), first.shares);
-    std::unique_ptr<plan::Advised> advised;
+    std::unique_ptr<plan::PlanAgent> advised;
     const auto start_advice = [&](const plan::ClientSettings& settings) {
         advised.reset();
         if (!settings.planners.empty())
             advised =
-                std::make_unique<plan::Advised>(io, node.clock(), node.sidecar(), node.config(), settings);
+                std::make_unique<plan::PlanAgent>(io, node.clock(), node.sidecar(), node.config(), settings);
     };
     start_advice(first.plan);
     std::unique_ptr<probing::SharedProbing> probing;
--- a/src/plan/codec.cpp
+++ b/src/plan/codec.cpp
@@ -87,12 +87,12 @@
     std::string_view remaining_;
 };
 
-void write(Writer& out, const Life& life) {
+void write(Writer& out, const ServerIncarnation& life) {
     out.number(life.id);
     out.real(life.born);
 }
-Life read_life(Reader& in) {
-    Life life;
+ServerIncarnation read_incarnation(Reader& in) {
+    ServerIncarnation life;
     life.id = static_cast<ServerId>(in.number("server.id", UINT32_MAX));
     life.born = in.real64("server.born");
     return life;
@@ -158,7 +158,7 @@
         report.full = in.flag("full");
         report.servers.resize(in.count("servers", kMaxServers, 15));
         for (ServerReport& s : report.servers) {
-            s.life = read_life(in);
+            s.life = read_incarnation(in);
             s.attempts = in.number("server.attempts");
             std::uint64_t mask = in.number("server.outcomes", (1u << kOutcomes) - 1);
             for (std::size_t i = 0; i < kOutcomes; ++i)
@@ -209,7 +209,7 @@
         plan.same = in.flag("same");
         plan.servers.resize(in.count("servers", kMaxServers, 19));
         for (ServerPlan& s : plan.servers) {
-            s.life = read_life(in);
+            s.life = read_incarnation(in);
             const std::uint64_t flags = in.number("server.flags", 7);
             s.removed = flags & 1, s.preferred = flags & 2;
             s.trial = static_cast<std::uint32_t>(in.number("server.trial", UINT32_MAX));
--- a/src/plan/follower.cpp
+++ b/src/plan/follower.cpp
@@ -23,8 +23,8 @@
     return static_cast<double>(removed) <= kMostRemoved * static_cast<double>(plan.servers.size());
 }
 
-Follower::Taken Follower::take(Millis now, Millis asked_at, Plan plan) {
-    if (plan.planner >= plans_.size() || !is_valid(plan)) return Taken::nonsense;
+Follower::ApplyResult Follower::apply(Millis now, Millis asked_at, Plan plan) {
+    if (plan.planner >= plans_.size() || !is_valid(plan)) return ApplyResult::invalid;
     const auto by_life = [](const ServerPlan& a, const ServerPlan& b) { return a.life < b.life; };
     auto& servers = plan.servers;
     if (!std::is_sorted(servers.begin(), servers.end(), by_life))
@@ -32,27 +32,27 @@
     const auto duplicate =
         std::adjacent_find(servers.begin(), servers.end(),
                            [](const ServerPlan& a, const ServerPlan& b) { return a.life == b.life; });
-    if (duplicate != servers.end()) return Taken::nonsense;
+    if (duplicate != servers.end()) return ApplyResult::invalid;
     auto& held = plans_[plan.planner];
     PlanId& seen = seen_[plan.planner];
-    if (plan.id < seen && now < accepted_at_[plan.planner] + kIdentityKept) return Taken::old;
+    if (plan.id < seen && now < accepted_at_[plan.planner] + kIdentityKept) return ApplyResult::old;
     const Millis until = asked_at + plan.life;
     if (plan.same) {
-        if (!held || held->plan.id != plan.id) return Taken::unknown;
+        if (!held || held->plan.id != plan.id) return ApplyResult::unknown;
         held->until = std::max(held->until, until);
         accepted_at_[plan.planner] = now;
-        return Taken::renewed;
+        return ApplyResult::renewed;
     }
     // Duplicated or reordered on its way: the plan held was requested later and expires no earlier.
-    if (held && held->plan.id == plan.id && until <= held->until) return Taken::renewed;
+    if (held && held->plan.id == plan.id && until <= held->until) return ApplyResult::renewed;
     seen = plan.id;
     accepted_at_[plan.planner] = now;
     if (until <= now) {  // expired on its way; the plan held before is superseded as well
         held.reset();
-        return Taken::taken;
+        return ApplyResult::accepted;
     }
     held = Held{std::move(plan), until};
-    return Taken::taken;
+    return ApplyResult::accepted;
 }
 
 bool Follower::holds(std::size_t planner, Millis now) const {
@@ -85,7 +85,7 @@
     if (count < k) return guidance;
     guidance.until = *next_end(now);
     for (;;) {
-        const Life* life = nullptr;
+        const ServerIncarnation* life = nullptr;
         for (std::size_t i = 0; i < count; ++i)
             if (live[i].at != live[i].end && (!life || live[i].at->life < *life)) life = &live[i].at->life;
         if (!life) return guidance;
--- a/src/plan/follower.hpp
+++ b/src/plan/follower.hpp
@@ -31,17 +31,17 @@
     // `planners`: number of configured planners; those beyond kMaxPlanners are ignored.
     explicit Follower(std::size_t planners);
 
-    enum class Taken {
-        taken,
-        renewed,   // the plan held has been extended, or is a duplicate of it
-        old,       // its id is lower than the newest accepted one; nothing changed
-        unknown,   // extends a plan that is not held: request the full plan; nothing changed
-        nonsense,  // the plan fails validation; nothing changed
+    enum class ApplyResult {
+        accepted,
+        renewed,  // the plan held has been extended, or is a duplicate of it
+        old,      // its id is lower than the newest accepted one; nothing changed
+        unknown,  // extends a plan that is not held: request the full plan; nothing changed
+        invalid,  // the plan fails validation; nothing changed
     };
     // Validates a plan and stores it. `asked_at`: when the forwarder sent the request that the plan answers.
     // The plan's validity starts then, so that a delayed plan never stays in force here for longer than its
     // planner assumes.
-    Taken take(Millis now, Millis asked_at, Plan plan);
+    ApplyResult apply(Millis now, Millis asked_at, Plan plan);
 
     // The merged advice of all unexpired plans, valid until the first of them expires. Empty if fewer than a
     // majority of planners have one.
--- a/src/plan/meter.cpp
+++ b/src/plan/meter.cpp
@@ -64,7 +64,7 @@
     if (!entry->listed && report.outstanding == 0) servers_.erase(server);
 }
 
-void Meter::standing(ServerId server, bool removed) {
+void Meter::set_removed(ServerId server, bool removed) {
     Entry* entry = find(server);
     if (!entry || entry->report.removed == removed) return;
     entry->report.removed = removed;
--- a/src/plan/meter.hpp
+++ b/src/plan/meter.hpp
@@ -26,7 +26,7 @@
     // Ignored if no attempt is outstanding, i.e. the attempt was sent to a former incarnation.
     void ended(ServerId server, kelplb::Outcome outcome, Millis duration, bool late);
     // Records whether the forwarder's own outlier detection has removed the server.
-    void standing(ServerId server, bool removed);
+    void set_removed(ServerId server, bool removed);
 
     // Builds the next report for this planner; `seen` goes into it unchanged.
     Report report(std::size_t planner, std::vector<PlanId> seen);
--- a/src/plan/pace.hpp
+++ b/src/plan/pace.hpp
@@ -13,20 +13,20 @@
 // Whether this outcome warrants an early report because planners can't expect it: the failure of a server in
 // use, or an in-time response of a server that the plans have removed (`left_alone`), that is, a successful
 // trial. Outcomes that don't depend on the server's health (recalled, superseded) never warrant one.
-inline bool is_news(kelplb::Outcome outcome, bool late, bool left_alone) {
+inline bool is_urgent(kelplb::Outcome outcome, bool late, bool left_alone) {
     using kelplb::Outcome;
     if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return false;
     return (outcome == Outcome::completed && !late) == left_alone;
 }
 
 // All times are in ms of the caller's steady clock.
-class Pace {
+class ReportSchedule {
 public:
     static constexpr double kBurst = 3;             // early reports in quick succession
     static constexpr double kMinGapPeriods = 0.05;  // between a report and an early one, in periods
 
     // `period`: between regular reports, over 0; `first`: when the first report is due.
-    Pace(Millis period, Millis first) : period_(period), due_(first) {}
+    ReportSchedule(Millis period, Millis first) : period_(period), due_(first) {}
 
     Millis due() const { return due_; }
     // Records that a report is sent now and schedules the next one. `jitter` is a random number from 0 to 1
@@ -40,7 +40,7 @@
     }
     // Asks for an early report. Returns true if due() has moved forward; false if the next report is early
     // already, is due soon anyway, or the token bucket is empty.
-    bool news(Millis now) {
+    bool report_early(Millis now) {
         refill(now);
         const Millis soon = std::max(now, sent_at_ + kMinGapPeriods * period_);
         if (early_ || tokens_ < 1 || soon >= due_) return false;
--- a/src/plan/planner.cpp
+++ b/src/plan/planner.cpp
@@ -110,8 +110,8 @@
     }
 }
 
-void Planner::recall(Millis now, const std::vector<Life>& removed) {
-    for (const Life& life : removed) {
+void Planner::restore_removed(Millis now, const std::vector<ServerIncarnation>& removed) {
+    for (const ServerIncarnation& life : removed) {
         const auto at = servers_.find(life.id);
         if (at == servers_.end() || at->second.info.online_since != life.born || at->second.removed) continue;
         if (!room_to_remove()) return;
@@ -119,20 +119,21 @@
     }
 }
 
-Planner::Taken Planner::report(Millis now, const Report& report) {
-    if (report.forwarder.empty() || report.forwarder.size() > kMaxName) return Taken::refused;
-    if (report.servers.size() > kMaxServers || report.demand.size() > kMaxClasses) return Taken::refused;
+Planner::ReportResult Planner::report(Millis now, const Report& report) {
+    if (report.forwarder.empty() || report.forwarder.size() > kMaxName) return ReportResult::refused;
+    if (report.servers.size() > kMaxServers || report.demand.size() > kMaxClasses)
+        return ReportResult::refused;
     for (const ServerReport& s : report.servers)
-        if (!is_valid(s)) return Taken::refused;
+        if (!is_valid(s)) return ReportResult::refused;
     auto at = forwarders_.find(report.forwarder);
     if (at == forwarders_.end()) {
-        if (forwarders_.size() >= settings_.forwarders) return Taken::refused;
+        if (forwarders_.size() >= settings_.forwarders) return ReportResult::refused;
         at = forwarders_.emplace(report.forwarder, Forwarder{}).first;
         ranked_ = false;
     }
     Forwarder& f = at->second;
     const bool fresh = f.incarnation != report.incarnation || f.sequence == 0;
-    if (!fresh && report.sequence <= f.sequence) return Taken::repeated;
+    if (!fresh && report.sequence <= f.sequence) return ReportResult::repeated;
     // A new instance of the forwarder: its counters restart at 0 and its outstanding requests are gone.
     if (fresh) f = {};
     const bool gap = fresh && !report.full;
@@ -175,7 +176,7 @@
             no_grants_until_ = std::max(no_grants_until_, now + settings_.life);
         }
     }
-    return gap ? Taken::want_full : Taken::taken;
+    return gap ? ReportResult::want_full : ReportResult::accepted;
 }
 
 void Planner::apply_counters(Millis now, const std::string& name, Server& s, const ServerReport& from,
@@ -445,8 +446,8 @@
     return at != servers_.end() && at->second.removed;
 }
 
-std::vector<Life> Planner::removed_lives() const {
-    std::vector<Life> incarnations;
+std::vector<ServerIncarnation> Planner::removed_incarnations() const {
+    std::vector<ServerIncarnation> incarnations;
     for (const auto& [id, s] : servers_)
         if (s.removed) incarnations.push_back({id, s.info.online_since});
     return incarnations;
--- a/src/plan/planner.hpp
+++ b/src/plan/planner.hpp
@@ -51,16 +51,16 @@
 
     // Restores the removals of a former instance, as far as these incarnations are listed and `removed_part`
     // allows. The trial of each is due at once.
-    void recall(Millis now, const std::vector<Life>& removed);
+    void restore_removed(Millis now, const std::vector<ServerIncarnation>& removed);
 
-    enum class Taken {
-        taken,
+    enum class ReportResult {
+        accepted,
         repeated,   // duplicate or reordered: its sequence is not above the newest; nothing changed
         want_full,  // accepted, but it is a delta to a report not held here: the next one must be full
         refused     // invalid, or the limit of forwarders is reached; nothing changed
     };
     // Validates a forwarder's report and adds its counters to the pooled statistics.
-    Taken report(Millis now, const Report& report);
+    ReportResult report(Millis now, const Report& report);
 
     // Periodic update of rates, shares, trials and grants; also drops silent forwarders. Returns true if the
     // plan has changed and has a new id.
@@ -80,7 +80,7 @@
     std::size_t forwarders() const { return forwarders_.size(); }
     std::size_t removed() const;
     bool removed(ServerId server) const;
-    std::vector<Life> removed_lives() const;
+    std::vector<ServerIncarnation> removed_incarnations() const;
     // `rate`: upper bound on a cold server's unexpired grants at all forwarders; `slice`: their limit. Both
     // are in attempts per second.
     struct Granted {
--- a/src/plan/types.hpp
+++ b/src/plan/types.hpp
@@ -57,10 +57,10 @@
 // One incarnation of a server: its id and the time of its last start as reported by discovery. A restarted
 // server has another `born`. The time is compared for equality (and ordered for sorting) only, because it
 // comes from another machine's clock.
-struct Life {
+struct ServerIncarnation {
     ServerId id = 0;
     Millis born = 0;
-    auto operator<=>(const Life&) const = default;
+    auto operator<=>(const ServerIncarnation&) const = default;
 };
 
 // ---- Forwarder to planner -------------------------------------------------------------------------------
@@ -69,7 +69,7 @@
 // the planner uses the difference to the newest counters that it holds. A report that is lost, duplicated or
 // reordered therefore does no harm.
 struct ServerReport {
-    Life life;
+    ServerIncarnation life;
     std::uint64_t attempts = 0;
     std::array<std::uint64_t, kOutcomes> outcomes{};
     std::uint64_t late = 0;  // completed after the latency target; counted as failures, like timeouts
@@ -100,7 +100,7 @@
 // ---- Planner to forwarder -------------------------------------------------------------------------------
 
 struct ServerPlan {
-    Life life;
+    ServerIncarnation life;
     bool removed = false;     // by the planner, on the outcomes pooled over all forwarders
     std::uint32_t trial = 0;  // if not 0, this forwarder should send the trial request with this number
     bool preferred = true;    // the server is in this forwarder's subset
--- a/src/plan_io/advised.cpp
+++ b/src/plan_io/advised.cpp
@@ -2,8 +2,8 @@
 
 namespace cobaltshift::plan {
 
-Advised::Advised(asio::io_context& io, const Clock& clock, Sidecar& sidecar, const Config& config,
-                 const ClientSettings& settings)
+PlanAgent::PlanAgent(asio::io_context& io, const Clock& clock, Sidecar& sidecar, const Config& config,
+                     const ClientSettings& settings)
     : clock_(clock),
       sidecar_(sidecar),
       // The seed and the time make the incarnation a new one at each start.
@@ -17,8 +17,9 @@
                    meter_.acknowledged(planner, sequence, full);
                },
                [this](std::size_t, Millis asked_at, const Plan& plan) {
-                   const auto taken = follower_.take(clock_.now(), asked_at, plan);
-                   const bool accepted = taken == Follower::Taken::taken || taken == Follower::Taken::renewed;
+                   const auto taken = follower_.apply(clock_.now(), asked_at, plan);
+                   const bool accepted =
+                       taken == Follower::ApplyResult::accepted || taken == Follower::ApplyResult::renewed;
                    if (accepted) guide();
                    return accepted;
                },
@@ -29,28 +30,28 @@
     sidecar_.set_observer(this);
 }
 
-Advised::~Advised() {
+PlanAgent::~PlanAgent() {
     sidecar_.set_observer(nullptr);
     if (guided_) sidecar_.set_guidance({});
 }
 
-void Advised::listed(const std::vector<kelplb::ServerInfo>& servers, bool whole) {
+void PlanAgent::listed(const std::vector<kelplb::ServerInfo>& servers, bool whole) {
     meter_.listed(servers, whole);
     guide();  // the plans may already cover servers that have just been listed
 }
 
-void Advised::ended(ServerId server, kelplb::Outcome outcome, Millis duration, bool late) {
+void PlanAgent::ended(ServerId server, kelplb::Outcome outcome, Millis duration, bool late) {
     meter_.ended(server, outcome, duration, late);
-    if (is_news(outcome, late, removed_.count(server) > 0)) client_.news();
+    if (is_urgent(outcome, late, removed_.count(server) > 0)) client_.report_early();
 }
 
-Report Advised::report(std::size_t planner) {
-    for (const auto& info : sidecar_.listed()) meter_.standing(info.id, false);
-    for (const ServerId id : sidecar_.removed()) meter_.standing(id, true);
+Report PlanAgent::report(std::size_t planner) {
+    for (const auto& info : sidecar_.listed()) meter_.set_removed(info.id, false);
+    for (const ServerId id : sidecar_.removed()) meter_.set_removed(id, true);
     return meter_.report(planner, follower_.seen());
 }
 
-void Advised::guide() {
+void PlanAgent::guide() {
     const Millis now = clock_.now();
     kelplb::Guidance guidance = follower_.guidance(now);
     if (guidance.servers.empty() && !guided_) return;
--- a/src/plan_io/advised.hpp
+++ b/src/plan_io/advised.hpp
@@ -11,12 +11,12 @@
 
 namespace cobaltshift::plan {
 
-class Advised : public Sidecar::Observer {
+class PlanAgent : public Sidecar::Observer {
 public:
     // Throws SecretError. Must be destroyed before the sidecar.
-    Advised(asio::io_context& io, const Clock& clock, Sidecar& sidecar, const Config& config,
-            const ClientSettings& settings);
-    ~Advised() override;
+    PlanAgent(asio::io_context& io, const Clock& clock, Sidecar& sidecar, const Config& config,
+              const ClientSettings& settings);
+    ~PlanAgent() override;
 
     const Client::Counts& counts() const { return client_.counts(); }
 
--- a/src/plan_io/auth.cpp
+++ b/src/plan_io/auth.cpp
@@ -41,7 +41,7 @@
     return hex.data();
 }
 
-bool Secret::right(std::string_view code, std::initializer_list<std::string_view> parts) const {
+bool Secret::verify(std::string_view code, std::initializer_list<std::string_view> parts) const {
     const std::string expected = this->code(parts);
     return expected.size() == code.size() &&
            sodium_memcmp(expected.data(), code.data(), expected.size()) == 0;
--- a/src/plan_io/auth.hpp
+++ b/src/plan_io/auth.hpp
@@ -26,7 +26,7 @@
     // different splits of the same bytes give different codes.
     std::string code(std::initializer_list<std::string_view> parts) const;
     // Whether `code` is the code of these parts, compared in constant time.
-    bool right(std::string_view code, std::initializer_list<std::string_view> parts) const;
+    bool verify(std::string_view code, std::initializer_list<std::string_view> parts) const;
 
 private:
     std::string key_;
--- a/src/plan_io/client.cpp
+++ b/src/plan_io/client.cpp
@@ -30,10 +30,10 @@
         const Millis first = pace_.due() - owner_->clock_.now();
         schedule(reports_ ? first : std::min(first, owner_->random_.unit() * kFirstPlanMs));
     }
-    void news() {
+    void report_early() {
         const Millis now = owner_->clock_.now();
         // While a report is in flight or backing off, the next one carries the news.
-        if (reports_ && pace_.news(now) && idle_) schedule(pace_.due() - now);
+        if (reports_ && pace_.report_early(now) && idle_) schedule(pace_.due() - now);
     }
     void stop() {
         owner_ = nullptr;
@@ -145,9 +145,9 @@
         const bool keep = parser_->keep_alive();
         const auto received_code = answer["X-Plan-Code"];
         const std::string status = std::to_string(answer.result_int());
-        if (!owner_->secret_.right({received_code.data(), received_code.size()},
-                                   {"answer", owner_->name_, requesting_session_ ? answer.body() : session_,
-                                    count_, nonce_, status, answer.body()}))
+        if (!owner_->secret_.verify({received_code.data(), received_code.size()},
+                                    {"answer", owner_->name_, requesting_session_ ? answer.body() : session_,
+                                     count_, nonce_, status, answer.body()}))
             return failed();
         if (answer.result() == http::status::conflict && !requesting_session_) {
             if (session().number == session_) session().number.clear();
@@ -196,7 +196,7 @@
     bool requesting_session_ = false;
     std::uint64_t sequence_ = 0;
     Millis asked_at_ = 0, backoff_ = 0;
-    Pace pace_;                  // schedule of reports
+    ReportSchedule pace_;        // schedule of reports
     std::uint64_t wait_id_ = 0;  // of the newest wait on timer_
     bool idle_ = false;          // waiting for the next scheduled request, without a failure before it
 };
@@ -219,8 +219,8 @@
         }
 }
 
-void Client::news() {
-    for (const auto& channel : channels_) channel->news();
+void Client::report_early() {
+    for (const auto& channel : channels_) channel->report_early();
 }
 
 Client::~Client() {
--- a/src/plan_io/client.hpp
+++ b/src/plan_io/client.hpp
@@ -31,7 +31,7 @@
     ~Client();
 
     // Asks for early reports to all planners; see plan/pace.hpp.
-    void news();
+    void report_early();
 
     struct Counts {
         std::size_t reports = 0, plans = 0, failures = 0, refused = 0;
--- a/src/plan_io/planner_node.cpp
+++ b/src/plan_io/planner_node.cpp
@@ -65,7 +65,7 @@
     std::erase_if(names_, [&](const auto& at) {
         return gone.count(at.second) || (list.is_full && !named.count(at.second));
     });
-    if (state_) planner_.recall(clock_.now(), state_->removed);
+    if (state_) planner_.restore_removed(clock_.now(), state_->removed);
     state_.reset();
 }
 
@@ -99,7 +99,7 @@
     if (settings_.state_folder.empty() || (!always && now < saved_at_ + kSaveIntervalMs)) return;
     saved_at_ = now;
     std::string why;
-    if (!save_state(settings_.state_folder, {planner_.id(), planner_.removed_lives()}, why))
+    if (!save_state(settings_.state_folder, {planner_.id(), planner_.removed_incarnations()}, why))
         log_line("planner.state", why);
 }
 
--- a/src/plan_io/server.cpp
+++ b/src/plan_io/server.cpp
@@ -81,7 +81,7 @@
         const std::string_view code = view(request_["X-Plan-Code"]);
         if (session) {
             nonce_ = std::string(request_["X-Plan-Nonce"]);
-            if (!owner_.secret_.right(code, {"session", forwarder_, nonce_}))
+            if (!owner_.secret_.verify(code, {"session", forwarder_, nonce_}))
                 return refuse(http::status::unauthorized, "the code is wrong");
             session_ = std::to_string(owner_.next_session_++);
             count_ = "0";
@@ -93,7 +93,7 @@
         const auto number = number_of(session_), count = number_of(count_);
         if (!number || !count)
             return refuse(http::status::bad_request, "X-Plan-Session or X-Plan-Count is no number");
-        if (!owner_.secret_.right(
+        if (!owner_.secret_.verify(
                 code, {report ? "report" : "plan", forwarder_, session_, count_, target, request_.body()}))
             return refuse(http::status::unauthorized, "the code is wrong");
         if (*number < owner_.first_session_ || *number >= owner_.next_session_)
@@ -129,13 +129,13 @@
         const auto result = owner_.planner_.report(owner_.clock_.now(), report);
         if (owner_.on_publish_due_ && owner_.planner_.publish_due()) owner_.on_publish_due_();
         switch (result) {
-            case Planner::Taken::taken:
+            case Planner::ReportResult::accepted:
                 return respond(http::status::ok, "taken");
-            case Planner::Taken::repeated:
+            case Planner::ReportResult::repeated:
                 return respond(http::status::ok, "repeated");
-            case Planner::Taken::want_full:
+            case Planner::ReportResult::want_full:
                 return respond(http::status::ok, "full");
-            case Planner::Taken::refused:
+            case Planner::ReportResult::refused:
                 return refuse(http::status::too_many_requests,
                               "counters that make no sense, or too many forwarders");
         }
--- a/src/plan_io/state.cpp
+++ b/src/plan_io/state.cpp
@@ -63,7 +63,7 @@
 
 bool save_state(const std::string& folder, const State& state, std::string& why) {
     json fields{{"epoch", state.id.epoch}, {"sequence", state.id.sequence}, {"removed", json::array()}};
-    for (const Life& life : state.removed) fields["removed"].push_back({life.id, life.born});
+    for (const ServerIncarnation& life : state.removed) fields["removed"].push_back({life.id, life.born});
     const std::string text = json{{"state", fields}, {"check", checksum(fields.dump())}}.dump() + "\n";
     const std::string name = path_in(folder), fresh = name + ".new";
     const auto fault = [&](const char* what) {
--- a/src/plan_io/state.hpp
+++ b/src/plan_io/state.hpp
@@ -13,7 +13,7 @@
 
 struct State {
     PlanId id;
-    std::vector<Life> removed;
+    std::vector<ServerIncarnation> removed;
     bool operator==(const State&) const = default;
 };
 
--- a/src/probing_io/datagrams.cpp
+++ b/src/probing_io/datagrams.cpp
@@ -38,7 +38,7 @@
                                    const std::size_t code = secret_.given() ? kCode : 0;
                                    if (!ec && size > code && size < bytes_.size()) {
                                        const std::string_view message = bytes.substr(0, size - code);
-                                       if (secret_.right(bytes.substr(message.size()), {message}))
+                                       if (secret_.verify(bytes.substr(message.size()), {message}))
                                            heard_(message);
                                    }
                                    if (*alive) listen();
--- a/src/sim/checkers/leases.cpp
+++ b/src/sim/checkers/leases.cpp
@@ -53,7 +53,7 @@
                           "planner " + std::to_string(left.planner));
     }
     Scene& scene_;
-    std::map<std::pair<Node, plan::Life>, std::vector<Lease>> leases_;
+    std::map<std::pair<Node, plan::ServerIncarnation>, std::vector<Lease>> leases_;
 };
 
 const Registered kChecker = Registered::checker("leases", [](Scene& scene) { scene.add<Leases>(scene); });
--- a/src/sim/checkers/prompt.cpp
+++ b/src/sim/checkers/prompt.cpp
@@ -38,7 +38,7 @@
 private:
     static constexpr const char* kName = "prompt";
     struct State {
-        std::vector<plan::Life> known, told;
+        std::vector<plan::ServerIncarnation> known, told;
         Millis since = -1;  // that they differ
     };
     void look(Node planner, const State& one) {
--- a/src/sim/models/forwarder.cpp
+++ b/src/sim/models/forwarder.cpp
@@ -74,7 +74,8 @@
     desks_.clear();
     desks_.resize(planners_);
     for (Node p = 0; p < planners_; ++p) {
-        desks_[p].pace = std::make_unique<plan::Pace>(kReportEvery, now + kReportEvery * lots_.unit());
+        desks_[p].pace =
+            std::make_unique<plan::ReportSchedule>(kReportEvery, now + kReportEvery * lots_.unit());
         await_report(p);
         scene_.kernel.after(500 * lots_.unit(), [this, p, life = life_] {
             if (life_ == life) ask(p);
@@ -204,9 +205,9 @@
     const bool late = duration > aim_;
     scene_.bus.tell(AttemptOver{open.request, number_, server, attempt, outcome});
     meter_->ended(server, outcome, duration, late);
-    if (plan::is_news(outcome, late, left_alone_.count(server) > 0))
+    if (plan::is_urgent(outcome, late, left_alone_.count(server) > 0))
         for (Node p = 0; p < desks_.size(); ++p)
-            if (desks_[p].pace->news(now)) await_report(p);
+            if (desks_[p].pace->report_early(now)) await_report(p);
     kelplb::AttemptEnded event{id, attempt, outcome, duration, open.ended};
     if (outcome == Outcome::completed && !open.ended) {
         const Clients::Ask& ask = scene_.all<Clients>().at(0)->ask(open.request);
@@ -248,16 +249,16 @@
 
 void Forwarder::report(Node planner) {
     desks_[planner].pace->sent(scene_.kernel.now(), lots_.unit());
-    for (const auto& [id, info] : list_) meter_->standing(id, false);
-    for (const kelplb::ServerId id : balancer_->removed()) meter_->standing(id, true);
+    for (const auto& [id, info] : list_) meter_->set_removed(id, false);
+    for (const kelplb::ServerId id : balancer_->removed()) meter_->set_removed(id, true);
     const plan::Report said = meter_->report(planner, follower_->seen());
     PlannerDesk* to = scene_.all<PlannerDesk>().at(planner);
     scene_.network.send(
         endpoint_, to->endpoint(), encode(said),
         [this, to, planner, life = life_, sequence = said.sequence](const std::string& bytes) {
             const auto taken = to->report(bytes);
-            if (!taken || *taken == plan::Planner::Taken::refused) return;
-            const bool full = *taken == plan::Planner::Taken::want_full;
+            if (!taken || *taken == plan::Planner::ReportResult::refused) return;
+            const bool full = *taken == plan::Planner::ReportResult::want_full;
             scene_.network.send(to->endpoint(), endpoint_, "ok",
                                 [this, planner, life, sequence, full](const std::string&) {
                                     if (life_ == life) meter_->acknowledged(planner, sequence, full);
@@ -295,9 +296,9 @@
     const bool had = follower_->holds(planner, scene_.kernel.now());
     const plan::PlanId before = follower_->seen()[planner];
     if (heard && heard->planner == planner) {
-        const auto how = follower_->take(scene_.kernel.now(), asked_at, std::move(*heard));
-        taken = how == plan::Follower::Taken::taken || how == plan::Follower::Taken::renewed;
-        nonsense = how == plan::Follower::Taken::nonsense;
+        const auto how = follower_->apply(scene_.kernel.now(), asked_at, std::move(*heard));
+        taken = how == plan::Follower::ApplyResult::accepted || how == plan::Follower::ApplyResult::renewed;
+        nonsense = how == plan::Follower::ApplyResult::invalid;
         guide();
     }
     (taken ? taken_ : refused_) += 1;
--- a/src/sim/models/forwarder.hpp
+++ b/src/sim/models/forwarder.hpp
@@ -67,7 +67,7 @@
     struct Desk {                    // of one planner
         std::uint64_t question = 0;  // the newest
         std::uint64_t report_timer = 0;
-        std::unique_ptr<plan::Pace> pace;
+        std::unique_ptr<plan::ReportSchedule> pace;
     };
 
     Scene& scene_;
--- a/src/sim/models/planner.cpp
+++ b/src/sim/models/planner.cpp
@@ -86,7 +86,7 @@
 }
 
 void PlannerDesk::knows() {
-    auto removed = core_->removed_lives();
+    auto removed = core_->removed_incarnations();
     if (removed == known_) return;
     known_ = std::move(removed);
     scene_.bus.tell(PlannerKnows{number_, known_});
@@ -101,7 +101,7 @@
     for (const Pending& one : pending) answer(one);
 }
 
-std::optional<plan::Planner::Taken> PlannerDesk::report(const std::string& bytes) {
+std::optional<plan::Planner::ReportResult> PlannerDesk::report(const std::string& bytes) {
     std::string why;
     const auto heard = plan::decode_report(bytes, why);
     if (!core_ || !heard) return {};
--- a/src/sim/models/planner.hpp
+++ b/src/sim/models/planner.hpp
@@ -23,7 +23,7 @@
     Millis clock() const { return scene_.kernel.now() + skew_; }
 
     // None: it is dead, or could not read it.
-    std::optional<plan::Planner::Taken> report(const std::string& bytes);
+    std::optional<plan::Planner::ReportResult> report(const std::string& bytes);
     using Answer = std::function<void(const std::string&)>;
     void asked(Node forwarder, const std::string& name, Network::Endpoint from, std::uint64_t question,
                plan::PlanId has, Answer answer);
@@ -63,7 +63,7 @@
     std::uint64_t life_ = 0;
     std::map<kelplb::ServerId, kelplb::ServerInfo> list_;
     std::vector<Pending> pending_;
-    std::vector<plan::Life> known_;
+    std::vector<plan::ServerIncarnation> known_;
     bool early_set_ = false, lying_ = false;
     Millis lag_ = 0;
 };
--- a/src/sim/plan_facts.hpp
+++ b/src/sim/plan_facts.hpp
@@ -25,10 +25,10 @@
 };
 struct PlannerKnows {
     Node planner;
-    std::vector<plan::Life> removed;
+    std::vector<plan::ServerIncarnation> removed;
     std::string text() const {
         std::string text = "planner " + std::to_string(planner) + " removes";
-        for (const plan::Life& life : removed) text += " server " + std::to_string(life.id);
+        for (const plan::ServerIncarnation& life : removed) text += " server " + std::to_string(life.id);
         return removed.empty() ? text + " none" : text;
     }
 };
@@ -41,8 +41,8 @@
     }
 };
 struct GrantLeft {
-    plan::Life life;     // of the cold server
-    double rate, slice;  // attempts a second; the planner's slice for this life
+    plan::ServerIncarnation life;  // of the cold server
+    double rate, slice;            // attempts a second; the planner's slice for this life
 };
 struct PlanLeft {  // the planner
     Node forwarder, planner;
--- a/tests/plan_io_test.cpp
+++ b/tests/plan_io_test.cpp
@@ -231,10 +231,10 @@
     EXPECT_EQ(f.ask(f.report(first, 9, 5)), 409U);
     // The response is authenticated together with the session and count of its request.
     EXPECT_EQ(f.ask(f.plan(second, 1)), 200U);
-    EXPECT_TRUE(f.key.right(std::string(f.last["X-Plan-Code"]),
-                            {"answer", "f1", second, "1", "", "200", f.last.body()}));
-    EXPECT_FALSE(f.key.right(std::string(f.last["X-Plan-Code"]),
-                             {"answer", "f1", second, "2", "", "200", f.last.body()}));
+    EXPECT_TRUE(f.key.verify(std::string(f.last["X-Plan-Code"]),
+                             {"answer", "f1", second, "1", "", "200", f.last.body()}));
+    EXPECT_FALSE(f.key.verify(std::string(f.last["X-Plan-Code"]),
+                              {"answer", "f1", second, "2", "", "200", f.last.body()}));
 }
 
 TEST(PlanServer, BoundsItsForwardersAndRefusesReplaysOfEvictedOnes) {
@@ -350,8 +350,8 @@
     EXPECT_NE(error_of(folder.file("short", "abc\n")).find("short holds under 16 bytes"), std::string::npos);
     // Parts are separated by their lengths: different splits of the same bytes give different codes.
     EXPECT_NE(Secret(kKey).code({"ab", "c"}), Secret(kKey).code({"a", "bc"}));
-    EXPECT_TRUE(Secret(kKey).right(Secret(kKey).code({"ab"}), {"ab"}));
-    EXPECT_FALSE(Secret(kKey).right("", {"ab"}));
+    EXPECT_TRUE(Secret(kKey).verify(Secret(kKey).code({"ab"}), {"ab"}));
+    EXPECT_FALSE(Secret(kKey).verify("", {"ab"}));
 }
 
 // A sidecar that reports to planners and follows their plans; runs on a thread of its own.
@@ -376,7 +376,7 @@
 private:
     asio::io_context io_{1};
     Node node_;
-    std::optional<plan::Advised> advised_;
+    std::optional<plan::PlanAgent> advised_;
     std::thread thread_;
 
 public:
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -164,47 +164,47 @@
     s.life = {id, 0};
     return s;
 }
-using Taken = Follower::Taken;
+using ApplyResult = Follower::ApplyResult;
 
 TEST(PlanFollower, RefusesOlderPlansAndExtendsOnlyThePlanHeld) {
     Follower f(1);
-    EXPECT_EQ(f.take(0, 0, {0, {1, 5}, 5000, true, {}}), Taken::unknown);
-    EXPECT_EQ(f.take(0, 0, plan_of(0, {2, 5}, {server(1)})), Taken::taken);
-    EXPECT_EQ(f.take(10, 10, plan_of(0, {2, 4}, {server(1)})), Taken::old);
-    EXPECT_EQ(f.take(10, 10, plan_of(0, {1, 9}, {server(1)})), Taken::old);
+    EXPECT_EQ(f.apply(0, 0, {0, {1, 5}, 5000, true, {}}), ApplyResult::unknown);
+    EXPECT_EQ(f.apply(0, 0, plan_of(0, {2, 5}, {server(1)})), ApplyResult::accepted);
+    EXPECT_EQ(f.apply(10, 10, plan_of(0, {2, 4}, {server(1)})), ApplyResult::old);
+    EXPECT_EQ(f.apply(10, 10, plan_of(0, {1, 9}, {server(1)})), ApplyResult::old);
     EXPECT_EQ(f.seen()[0], (PlanId{2, 5}));
-    EXPECT_EQ(f.take(4000, 4000, {0, {2, 5}, 5000, true, {}}), Taken::renewed);
+    EXPECT_EQ(f.apply(4000, 4000, {0, {2, 5}, 5000, true, {}}), ApplyResult::renewed);
     EXPECT_TRUE(f.holds(0, 8999));
     EXPECT_FALSE(f.holds(0, 9000));
-    EXPECT_EQ(f.take(4000, 4000, plan_of(1, {1, 1}, {})), Taken::nonsense);  // no such planner
+    EXPECT_EQ(f.apply(4000, 4000, plan_of(1, {1, 1}, {})), ApplyResult::invalid);  // no such planner
     // A far too high id locks the planner out for kIdentityKept, not forever.
-    EXPECT_EQ(f.take(5000, 5000, plan_of(0, {UINT64_MAX, UINT64_MAX}, {server(1)})), Taken::taken);
-    EXPECT_EQ(f.take(6000, 6000, plan_of(0, {3, 1}, {server(1)})), Taken::old);
-    EXPECT_EQ(f.take(5000 + Follower::kIdentityKept, 5000 + Follower::kIdentityKept,
-                     plan_of(0, {3, 1}, {server(1)})),
-              Taken::taken);
+    EXPECT_EQ(f.apply(5000, 5000, plan_of(0, {UINT64_MAX, UINT64_MAX}, {server(1)})), ApplyResult::accepted);
+    EXPECT_EQ(f.apply(6000, 6000, plan_of(0, {3, 1}, {server(1)})), ApplyResult::old);
+    EXPECT_EQ(f.apply(5000 + Follower::kIdentityKept, 5000 + Follower::kIdentityKept,
+                      plan_of(0, {3, 1}, {server(1)})),
+              ApplyResult::accepted);
 }
 
 TEST(PlanFollower, APlanExpiresCountedFromTheRequest) {
     Follower f(1);
-    f.take(3000, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)}, 5000));
+    f.apply(3000, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)}, 5000));
     EXPECT_EQ(f.guidance(3000).until, 5000);
     EXPECT_EQ(f.guidance(4999).servers.size(), 2U);
     EXPECT_TRUE(f.guidance(5000).servers.empty());
     EXPECT_EQ(f.next_end(5000), std::nullopt);
     // A plan that arrives after its expiry only raises the newest id; the plan held before it is dropped as
     // well.
-    f.take(6000, 6000, plan_of(0, {1, 2}, {removed_server(1), server(2)}));
-    EXPECT_EQ(f.take(7000, 1000, plan_of(0, {1, 3}, {server(1), server(2)})), Taken::taken);
+    f.apply(6000, 6000, plan_of(0, {1, 2}, {removed_server(1), server(2)}));
+    EXPECT_EQ(f.apply(7000, 1000, plan_of(0, {1, 3}, {server(1), server(2)})), ApplyResult::accepted);
     EXPECT_TRUE(f.guidance(7000).servers.empty());
-    EXPECT_EQ(f.take(7000, 7000, plan_of(0, {1, 2}, {server(1)})), Taken::old);
+    EXPECT_EQ(f.apply(7000, 7000, plan_of(0, {1, 2}, {server(1)})), ApplyResult::old);
 }
 
 TEST(PlanFollower, ADelayedDuplicateDoesNotShortenThePlanHeld) {
     Follower f(1);
-    f.take(0, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)}));
-    f.take(4000, 4000, plan_of(0, {1, 1}, {removed_server(1), server(2)}));
-    EXPECT_EQ(f.take(6000, 0, plan_of(0, {1, 1}, {server(1), server(2)})), Taken::renewed);
+    f.apply(0, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)}));
+    f.apply(4000, 4000, plan_of(0, {1, 1}, {removed_server(1), server(2)}));
+    EXPECT_EQ(f.apply(6000, 0, plan_of(0, {1, 1}, {server(1), server(2)})), ApplyResult::renewed);
     EXPECT_TRUE(f.holds(0, 8999));
     EXPECT_TRUE(f.guidance(8999).servers.at(0).removed);
 }
@@ -235,8 +235,8 @@
         with([](Plan& p) { p.planner = 9; }),
     };
     Follower f(1);
-    ASSERT_EQ(f.take(0, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)})), Taken::taken);
-    for (const Plan& plan : table) EXPECT_EQ(f.take(0, 0, plan), Taken::nonsense) << &plan - table;
+    ASSERT_EQ(f.apply(0, 0, plan_of(0, {1, 1}, {removed_server(1), server(2)})), ApplyResult::accepted);
+    for (const Plan& plan : table) EXPECT_EQ(f.apply(0, 0, plan), ApplyResult::invalid) << &plan - table;
     EXPECT_EQ(f.seen()[0], (PlanId{1, 1}));
     EXPECT_EQ(f.guidance(1).servers.size(), 2U);
 }
@@ -245,12 +245,12 @@
     Follower f(3);
     ServerPlan liar = removed_server(1, 4);
     liar.share = 0, liar.elsewhere = 9, liar.cold_rate = 1e5F, liar.preferred = false;
-    f.take(0, 0, plan_of(0, {1, 1}, {liar, server(2)}));
+    f.apply(0, 0, plan_of(0, {1, 1}, {liar, server(2)}));
     EXPECT_TRUE(f.guidance(1).servers.empty()) << "one planner of three has no majority";
     ServerPlan honest = server(1);
     honest.cold_rate = 3;
-    f.take(0, 0, plan_of(1, {1, 1}, {honest, server(2)}));
-    f.take(0, 0, plan_of(2, {1, 1}, {server(1), server(2)}));
+    f.apply(0, 0, plan_of(1, {1, 1}, {honest, server(2)}));
+    f.apply(0, 0, plan_of(2, {1, 1}, {server(1), server(2)}));
     const auto g = f.guidance(1);
     ASSERT_EQ(g.servers.size(), 2U);
     EXPECT_FALSE(g.servers[0].removed);
@@ -259,7 +259,7 @@
     EXPECT_EQ(g.servers[0].share, 1);
     EXPECT_EQ(g.servers[0].elsewhere, 0);
     EXPECT_EQ(g.servers[0].cold_rate, 3);  // what at least two planners grant
-    f.take(2, 2, plan_of(2, {1, 2}, {removed_server(1), server(2)}));
+    f.apply(2, 2, plan_of(2, {1, 2}, {removed_server(1), server(2)}));
     EXPECT_TRUE(f.guidance(3).servers[0].removed);
     EXPECT_NE(f.guidance(3).servers[0].trial, 0U);
     EXPECT_EQ(f.guidance(5000).servers.size(), 0U) << "only one plan has not expired";
@@ -282,7 +282,7 @@
             for (std::uint32_t p = 0; p < 3; ++p) {
                 ServerPlan s = server(1);
                 s.cold_rate = p == 0 ? 1000.0F : static_cast<float>(honest[p][i]);
-                f.take(0, 0, plan_of(p, {1, 1}, {s}));
+                f.apply(0, 0, plan_of(p, {1, 1}, {s}));
             }
             in_force += f.guidance(0).servers.at(0).cold_rate;
         }
@@ -308,7 +308,7 @@
         for (Meter& m : meters) {
             const Report r = m.report(0, {});
             const auto taken = planner.report(now, r);
-            m.acknowledged(0, r.sequence, taken == Planner::Taken::want_full);
+            m.acknowledged(0, r.sequence, taken == Planner::ReportResult::want_full);
         }
         planner.tick(now);
     }
@@ -349,8 +349,8 @@
         sent.push_back(fixture.meters[0].report(0, {}));
     }
     EXPECT_EQ(fixture.planner.report(1, sent[2]),
-              Planner::Taken::taken);  // the first two are delayed or lost
-    for (const Report& r : sent) EXPECT_EQ(fixture.planner.report(1, r), Planner::Taken::repeated);
+              Planner::ReportResult::accepted);  // the first two are delayed or lost
+    for (const Report& r : sent) EXPECT_EQ(fixture.planner.report(1, r), Planner::ReportResult::repeated);
     for (int i = 0; i < 16; ++i) fixture.serve(fixture.meters[0], 1, Outcome::errored);
     fixture.round();
     EXPECT_FALSE(fixture.planner.removed(1)) << "nineteen outcomes are under the twenty needed";
@@ -395,7 +395,7 @@
     Follower follower(1);
     const Plan plan = fixture.planner.plan(fixture.now, "f0", {});
     EXPECT_EQ(plan.servers.size(), 4U);
-    EXPECT_EQ(follower.take(fixture.now, fixture.now, plan), Follower::Taken::taken);
+    EXPECT_EQ(follower.apply(fixture.now, fixture.now, plan), Follower::ApplyResult::accepted);
     // The same with single deletions instead of a whole list.
     left[0].phase = left[1].phase = left[2].phase = Phase::off;
     fixture.planner.listed(fixture.now, left, false);
@@ -427,31 +427,31 @@
 }
 
 TEST(ReportPace, UrgentNewsIsReportedEarlyAndAtMostDoublesTheRate) {
-    Pace pace(1000, 400);
+    ReportSchedule pace(1000, 400);
     EXPECT_EQ(pace.due(), 400);
     pace.sent(400, 0.5);
     EXPECT_EQ(pace.due(), 1400);
-    EXPECT_TRUE(pace.news(410));
+    EXPECT_TRUE(pace.report_early(410));
     EXPECT_EQ(pace.due(), 450) << "not before the minimum gap";
-    EXPECT_FALSE(pace.news(420)) << "an early report is due already";
+    EXPECT_FALSE(pace.report_early(420)) << "an early report is due already";
     pace.sent(450, 0.5);
-    EXPECT_TRUE(pace.news(900));
+    EXPECT_TRUE(pace.report_early(900));
     EXPECT_EQ(pace.due(), 900);
     pace.sent(900, 0.5);
     // News every millisecond for a minute.
     std::size_t reports = 0;
     for (Millis now = 901; now < 60901; ++now) {
-        pace.news(now);
+        pace.report_early(now);
         if (pace.due() <= now) pace.sent(now, 0.5), ++reports;
     }
     EXPECT_GE(reports, 60U);
     EXPECT_LE(reports, 125U);
-    EXPECT_TRUE(is_news(Outcome::errored, false, false));
-    EXPECT_TRUE(is_news(Outcome::completed, true, false));
-    EXPECT_FALSE(is_news(Outcome::completed, false, false));
-    EXPECT_FALSE(is_news(Outcome::errored, false, true)) << "the server is removed already";
-    EXPECT_TRUE(is_news(Outcome::completed, false, true)) << "a successful trial";
-    EXPECT_FALSE(is_news(Outcome::cancelled, true, false));
+    EXPECT_TRUE(is_urgent(Outcome::errored, false, false));
+    EXPECT_TRUE(is_urgent(Outcome::completed, true, false));
+    EXPECT_FALSE(is_urgent(Outcome::completed, false, false));
+    EXPECT_FALSE(is_urgent(Outcome::errored, false, true)) << "the server is removed already";
+    EXPECT_TRUE(is_urgent(Outcome::completed, false, true)) << "a successful trial";
+    EXPECT_FALSE(is_urgent(Outcome::cancelled, true, false));
 }
 
 TEST(Planner, AssignsATrialToOneForwarderAndReassignsItAfterATimeout) {
@@ -584,8 +584,8 @@
     fixture.serve_all(10);
     fixture.round();
     Report delta{"f0", 99, 7, false, {}, {3}, {}};
-    EXPECT_EQ(fixture.planner.report(fixture.now, delta), Planner::Taken::want_full);
-    EXPECT_EQ(fixture.planner.report(fixture.now, delta), Planner::Taken::repeated);
+    EXPECT_EQ(fixture.planner.report(fixture.now, delta), Planner::ReportResult::want_full);
+    EXPECT_EQ(fixture.planner.report(fixture.now, delta), Planner::ReportResult::repeated);
     EXPECT_EQ(fixture.planner.forwarders(), 10U);
 }
 
@@ -595,24 +595,24 @@
     Planner planner(s, {}, 0);
     planner.listed(0, infos(2), true);
     const auto said = [](const char* name) { return Report{name, 1, 1, true, {}, {}, {}}; };
-    EXPECT_EQ(planner.report(0, said("")), Planner::Taken::refused);
-    EXPECT_EQ(planner.report(0, said(std::string(65, 'x').c_str())), Planner::Taken::refused);
-    EXPECT_EQ(planner.report(0, said("a")), Planner::Taken::taken);
-    EXPECT_EQ(planner.report(0, said("b")), Planner::Taken::taken);
-    EXPECT_EQ(planner.report(0, said("c")), Planner::Taken::refused);
+    EXPECT_EQ(planner.report(0, said("")), Planner::ReportResult::refused);
+    EXPECT_EQ(planner.report(0, said(std::string(65, 'x').c_str())), Planner::ReportResult::refused);
+    EXPECT_EQ(planner.report(0, said("a")), Planner::ReportResult::accepted);
+    EXPECT_EQ(planner.report(0, said("b")), Planner::ReportResult::accepted);
+    EXPECT_EQ(planner.report(0, said("c")), Planner::ReportResult::refused);
     Report invalid = said("a");
     invalid.sequence = 2;
     invalid.servers.resize(1);
     invalid.servers[0].life.id = 1;
     invalid.servers[0].attempts = 5, invalid.servers[0].outcomes[0] = 6;  // more outcomes than attempts
-    EXPECT_EQ(planner.report(0, invalid), Planner::Taken::refused);
+    EXPECT_EQ(planner.report(0, invalid), Planner::ReportResult::refused);
     invalid.servers[0].outcomes[0] = 4, invalid.servers[0].late = 5;
-    EXPECT_EQ(planner.report(0, invalid), Planner::Taken::refused);
+    EXPECT_EQ(planner.report(0, invalid), Planner::ReportResult::refused);
     invalid.servers[0].late = 0, invalid.servers[0].life.born = std::nan("");
-    EXPECT_EQ(planner.report(0, invalid), Planner::Taken::refused);
+    EXPECT_EQ(planner.report(0, invalid), Planner::ReportResult::refused);
     planner.tick(20000);
     EXPECT_EQ(planner.forwarders(), 0U);
-    EXPECT_EQ(planner.report(20000, said("c")), Planner::Taken::taken);
+    EXPECT_EQ(planner.report(20000, said("c")), Planner::ReportResult::accepted);
 }
 
 TEST(Planner, SubsetsAreEvenAndChangeLittleWhenAForwarderLeaves) {
