--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 void check(bool valid, const std::string& setting) {
-    if (!valid) throw std::invalid_argument("kelplb: invalid setting: " + setting);
+    if (!valid) throw std::invalid_argument("kelplb: setting makes no sense: " + setting);
 }
 void check_amount(double value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
