--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -34,8 +34,8 @@
 constexpr double kSuccessRateThreshold = 0.9;
 constexpr Millis kBackoffMs = 10000;
 
-// A sidecar that sends to the same server less often than this is a low-traffic one; it closes connections
-// after use instead of keeping them idle.
+// A sidecar that sends to the same server less often than once in this time is a low-traffic one; it closes
+// connections after use instead of keeping them idle.
 constexpr Millis kConnectionReuseMs = 4000;
 // Probes are sent only while the share of attempts answered within their target lies between these.
 constexpr double kProbeMaxOnTime = 0.97, kProbeMinOnTime = 0.7;
@@ -64,7 +64,7 @@
 constexpr double kMaxExpectedRatio = 0.7, kMaxExpectedRatioOverQuota = 0.25, kMaxExpectedRatioCold = 1;
 constexpr double kMinCapacity = 0.05;       // lower bound of a cold server's capacity in the expected ratio
 constexpr double kMaxRelativeCost = 1.3;    // costs up to this factor apart count as similar
-constexpr double kMinExpectedRatio = 0.02;  // smaller expected ratios are not told apart
+constexpr double kMinExpectedRatio = 0.02;  // smaller expected ratios count as equal
 // A server in another zone counts as slower by 1 + this factor times Settings::fees.cross_zone.
 constexpr double kCrossZoneCostFactor = 10;
 constexpr double kTimeoutLatencyFactor = 1.5;  // a timed-out attempt's latency, in terms of its time-out
@@ -776,8 +776,8 @@
         r.spec.latency_target += r.spec.latency_target_stretch * std::max(0.0, e.effort);
         r.deadline = now + std::max(0.0, e.time_left);
         r.attempt_deadline = r.deadline;
-        // An answer past the target is worth nothing to such a client, who does not repeat the request
-        // either: it only delays others. Where clients repeat what failed, ending attempts at the target
+        // A late answer that is worth nothing, to a client that does not repeat the request either, only
+        // delays other requests, so the attempt ends at the target. Where clients repeat what failed, that
         // would double the work instead.
         const bool client_repeats = r.spec.effect != Effect::by_key || r.spec.dedup_scope == DedupScope::all;
         if (settings.may_cancel && r.spec.late_worth <= 0 && !client_repeats)
--- a/src/control_io/peers.hpp
+++ b/src/control_io/peers.hpp
@@ -3,8 +3,8 @@
 // on one event loop; not thread-safe. Delivery is unreliable: messages that can't be delivered soon are
 // dropped, and Raft sends them again.
 //
-// Wire format: a datagram, or a TCP frame preceded by its length (u32, little-endian), holds one byte, kOwn
-// or kPassedOn (forwarded by another node; must not be forwarded again), and an encoded raft::Message. A
+// Wire format: a datagram, or a TCP frame preceded by its length (u32, little-endian), holds one byte,
+// kDirect or kForwarded (by another node; must not be forwarded again), and an encoded raft::Message. A
 // connection without progress for kStallTimeout is closed and opened again for the next long message. Invalid
 // data closes the connection.
 #pragma once
@@ -27,8 +27,8 @@
 public:
     using MessageHandler = std::function<void(const raft::Message&, bool forwarded)>;
 
-    // Listens at `ip`:`port`, UDP and TCP. Throws boost::system::system_error if that fails. `heard` is
-    // called for each message received.
+    // Listens at `ip`:`port`, UDP and TCP. Throws boost::system::system_error if that fails. `on_message`
+    // is called for each message received.
     Peers(asio::io_context& io, const std::string& ip, std::uint16_t port, MessageHandler on_message);
     ~Peers();
     Peers(const Peers&) = delete;
--- a/src/lease/book.hpp
+++ b/src/lease/book.hpp
@@ -18,7 +18,7 @@
 
 namespace cobaltshift::lease {
 
-// Not thread-safe.
+// Entry type: LeaseTable. Not thread-safe.
 class LeaseTable {
 public:
     struct Waiter {
@@ -47,7 +47,7 @@
     // Null: nobody holds the task. Valid until the next apply() or load().
     const Task* find(std::string_view task) const;
     // `holder` and `number` identify the request that stored the note, so that a delayed or repeated request
-    // is told from a newer one under the same lease.
+    // can be distinguished from a newer one under the same lease.
     struct Note {
         std::string text;
         Fence fence = 0;
--- a/src/lease/office.hpp
+++ b/src/lease/office.hpp
@@ -1,6 +1,6 @@
 // Core of a lease replica: a Raft node, the replicated state and, on the leader, the pending requests and
 // the expiry timers. Used by the replica's process (lease_io) and by its model in the simulator; does no
-// I/O. Not thread-safe. Times are milliseconds on the caller's monotonic clock.
+// I/O. Not thread-safe. Times are milliseconds on the caller's monotonic clock. Entry type: LeaseServer.
 //
 // Why two holders never act at the same time, although no clock is compared with another's: a holder counts
 // its lease from before it sent the request. The leader counts from after a majority has confirmed, in
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -1,7 +1,7 @@
 // Requests, responses and log operations of the replicated lease service. A lease gives one holder the
-// exclusive right to act on a named task for a limited time. Entry types of the package: the server core that
-// runs in each replica (office.hpp), Holder (the client core, holder.hpp) and Gate (checks fencing tokens at
-// the resource that holders act on, gate.hpp).
+// exclusive right to act on a named task for a limited time. Entry types of the package: LeaseServer (the
+// server core of each replica, office.hpp), Holder (the client core, holder.hpp) and Gate (checks fencing
+// tokens at the resource that holders act on, gate.hpp).
 #pragma once
 
 #include <cstddef>
--- a/src/lease_cli.cpp
+++ b/src/lease_cli.cpp
@@ -201,7 +201,7 @@
     return revoke();
 }
 
-// ---- Keepers ---------------------------------------------------------------------------------------------
+// ---- Lease replicas --------------------------------------------------------------------------------------
 
 int LeaseCli::keep() {
     if (!settings_.keeper) throw SettingsError(file_ + ": keeper is missing");
--- a/src/lease_io/channel.hpp
+++ b/src/lease_io/channel.hpp
@@ -1,6 +1,6 @@
 // One TCP connection between two replicas or between a client and a replica. It carries frames of bounded
-// size, each with a message authentication code if a secret is configured. Entry type: Channel; line.hpp
-// keeps one connected.
+// size, each with a message authentication code if a secret is configured. Entry type: Channel;
+// ReplicaConnection (line.hpp) keeps one connected.
 //
 //   hello   sent by both sides on connecting: "CSL", format, role of the connecting side, nonce of 16 bytes
 //   frame   length of the rest (4 bytes, little-endian), kind, payload, code (64 hex digits, with a secret)
@@ -35,8 +35,8 @@
     ping,       // the payload, which may be empty, is echoed
     pong,
     message,   // raft::encode(Message); between replicas only
-    question,  // lease::encode(Question)
-    answer,    // lease::encode(Answer)
+    question,  // lease::encode(Request)
+    answer,    // lease::encode(Response)
     order,     // operator's command, JSON; answered by `report`
     report,    // JSON
 };
--- a/src/lease_io/keeper_node.hpp
+++ b/src/lease_io/keeper_node.hpp
@@ -1,4 +1,4 @@
-// Process of one lease replica ("keeper"): the server core of lease/office.hpp with sockets and a data
+// Process of one lease replica ("keeper"): a LeaseServer (lease/office.hpp) with sockets and a data
 // directory. Entry type: KeeperNode. After every event pump() processes the core's output in the required
 // order: persist and sync, stored(), send, answer. Disk writes block the event loop, as nothing may be sent
 // before the sync anyway.
@@ -20,7 +20,7 @@
 
 namespace cobaltshift::lease {
 
-// The data directory can't be used: it is in use already, or belongs to another cluster or another replica.
+// The data directory is not empty (found()), or belongs to another cluster or another replica.
 struct KeeperError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -35,7 +35,7 @@
 // Not thread-safe: all calls are made on the thread that runs `io`.
 class KeeperNode {
 public:
-    // Throws KeeperError, store::FolderError and plan::SecretError.
+    // Throws KeeperError, store::StorageError and plan::SecretError.
     KeeperNode(asio::io_context& io, KeeperSettings own, KeepersSettings all);
     ~KeeperNode();
 
--- a/src/lease_io/line.hpp
+++ b/src/lease_io/line.hpp
@@ -1,6 +1,6 @@
 // Connection to one replica that reconnects by itself: opened on the first send and again after a failure,
 // with a random, exponentially growing back-off. While it is down only the newest frame is kept; others are
-// lost, as on any network. Entry type: Line. Not thread-safe.
+// lost, as on any network. Entry type: ReplicaConnection. Not thread-safe.
 #pragma once
 
 #include <functional>
--- a/src/lease_io/rights.hpp
+++ b/src/lease_io/rights.hpp
@@ -1,6 +1,6 @@
 // Client of the lease service: lease::Holder with its connections to the replicas and its timer. Code that
 // acts on a task calls right() immediately before each action and passes the fencing token to the resource
-// that it acts on. Entry type: Rights. Not thread-safe: all calls are made on the thread that runs `io`.
+// that it acts on. Entry type: LeaseClient. Not thread-safe: all calls are made on the thread that runs `io`.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
     ~LeaseClient();
 
     void want(const std::string& task, Millis length, bool wait);
-    // See lease::Holder for these.
+    // See lease::Holder for this and want().
     void give_up(const std::string& task, const std::string& next = "");
     // The lease, if it may be acted upon now, by the clock of lease_io/clock.hpp.
     std::optional<Holder::Right> right(const std::string& task) const;
--- a/src/plan/meter.hpp
+++ b/src/plan/meter.hpp
@@ -22,8 +22,8 @@
     void arrived(std::uint32_t class_index);
     // Counts an attempt sent to the server.
     void sent(ServerId server);
-    // Counts the end of an attempt after `duration` ms. `late`: it completed, but after its latency target.
-    // Ignored if no attempt is outstanding, i.e. the attempt was sent to a former incarnation.
+    // Counts the end of an attempt. `duration` (ms) and `late` (past its latency target) count only if it
+    // completed. Ignored if no attempt is outstanding, i.e. it was sent to a former incarnation.
     void ended(ServerId server, kelplb::Outcome outcome, Millis duration, bool late);
     // Records whether the forwarder's own outlier detection has removed the server.
     void set_removed(ServerId server, bool removed);
--- a/src/plan_io/client.cpp
+++ b/src/plan_io/client.cpp
@@ -32,7 +32,7 @@
     }
     void report_early() {
         const Millis now = owner_->clock_.now();
-        // While a report is in flight or backing off, the next one carries the news.
+        // While a report is in flight or backing off, the next one covers the new events.
         if (reports_ && pace_.report_early(now) && idle_) schedule(pace_.due() - now);
     }
     void stop() {
--- a/src/plan_io/server.hpp
+++ b/src/plan_io/server.hpp
@@ -3,8 +3,8 @@
 //
 //   GET  /v1/session                                   responds with a session number for further messages
 //   POST /v1/report                                    request body: a Report; responds taken, repeated or
-//   full GET  /v1/plan?after=EPOCH.SEQUENCE&wait_ms=N       responds with a Plan: at once if newer, else in N
-//   ms
+//                                                      full
+//   GET  /v1/plan?after=EPOCH.SEQUENCE&wait_ms=N       a Plan: at once if newer, else within N ms
 //
 // Each request carries X-Plan-Forwarder; the last two also carry X-Plan-Session and X-Plan-Count, which grows
 // with each message of its kind in the session. With a secret, X-Plan-Code authenticates these headers and
@@ -63,7 +63,7 @@
     asio::steady_timer retry_;
     std::map<Connection*, std::shared_ptr<Connection>> connections_;
     std::list<Connection*> waiting_;                    // for a newer plan
-    std::uint64_t first_session_, next_session_;        // sessions from first_ to below next_ are valid
+    std::uint64_t first_session_, next_session_;        // valid: first_session_ to next_session_ - 1
     std::map<std::string, ReplayState> replay_states_;  // by forwarder
     std::list<std::string> lru_;                        // forwarders, least recently heard from first
     std::function<void()> on_publish_due_;
--- a/src/raft/raft_node.hpp
+++ b/src/raft/raft_node.hpp
@@ -18,8 +18,8 @@
 //   leader completeness      votes go only to candidates whose log is at least as up to date; only entries of
 //                            the current term are committed by counting (election.cpp, replication.cpp)
 //   state machine safety     a committed entry is never replaced; a message that requires it throws
-//   ProtocolViolation one change at a time     no membership change while another is uncommitted, and none
-//   before the leader
+//                            ProtocolViolation
+//   one change at a time     no membership change while another is uncommitted, and none before the leader
 //                            has committed an entry of its own term (membership.cpp)
 //   snapshot integrity       a snapshot is installed only after its last piece has arrived and its digest
 //                            matches (snapshot_transfer.cpp)
