--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -58,7 +58,7 @@
 enum class Disposition : std::uint8_t { begin, wait, refuse };
 struct Decision {
     Disposition disposition = Disposition::refuse;
-    Reason reason = Reason::full;  // meaningful if `act` is refuse
+    Reason reason = Reason::full;  // meaningful if `disposition` is refuse
 };
 // A request that left the queue without having run.
 struct Rejected {
--- a/src/admission/inbound_requests.cpp
+++ b/src/admission/inbound_requests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // The server is told the deadline and stops by itself. A request that has not ended this many milliseconds
-// after it expires.
+// after its deadline is timed out, as the server counts as silent.
 constexpr Millis kExpiryMarginMs = 40;
 }  // namespace
 
--- a/src/admission/module_settings.cpp
+++ b/src/admission/module_settings.cpp
@@ -39,8 +39,8 @@
     s.cold_capacity = 0.5;
     s.warmup_time = kWarmUpMs;
     s.fees.cross_zone = kCrossZoneFee;
-    // The library's retry budget is opened wide: attempts that an admission refuses cost nothing, and those
-    // that reach a server are limited by RetryBudget.
+    // The library's retry budget is too large to limit anything: attempts that an admission refuses cost
+    // nothing, and those that reach a server are limited by RetryBudget.
     s.retry_share = kMaxAttempts;
     s.retry_burst = 1000;
     s.max_hold_share = kHoldAims;
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -55,7 +55,7 @@
     std::map<std::string, std::string> unknown_fields;  // unknown top-level fields, as JSON
 
     // The route of this host (ignoring case and port) with the longest prefix of `path`; anything after a '?'
-    // is ignored. Null if no route matches. Requires finalize().
+    // is ignored. Null if no route matches: the request is answered with 404. Requires finalize().
     const Route* find(std::string_view host, std::string_view path) const;
 
 private:
--- a/src/exchange/connection_pool.hpp
+++ b/src/exchange/connection_pool.hpp
@@ -10,7 +10,7 @@
 //   - a connection is reused only if exactly one complete answer to its own request has come on it; bytes
 //     after an answer, another request's answer, a reset, an end of stream, a time-out or a withdrawal rule
 //     it out;
-//   - an attempt whose last byte was not written ends as refused_connection or superseded: it has not run.
+//   - an attempt whose last byte was not written ends as refused_connection or not_sent: it has not run.
 //     Every other attempt without an answer may have run.
 //
 // A Transport provides (Connection is ConnectionPool<Transport>::Connection):
@@ -126,9 +126,9 @@
         start(std::move(job), server, to);
     }
 
-    // The attempt has timed out: it ends as overdue, or as refused_connection if writing has not begun.
+    // The attempt has timed out: it ends as timed_out, or as refused_connection if writing has not begun.
     void expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::timed_out); }
-    // The attempt is no longer wanted: it ends as recalled, or as superseded if writing has not begun (it has
+    // The attempt is no longer wanted: it ends as cancelled, or as not_sent if writing has not begun (it has
     // then not run).
     void cancel(AttemptKey key) { stop(key, Outcome::not_sent, Outcome::cancelled); }
 
@@ -234,7 +234,7 @@
             transport_.set_timer(connection, job->until);
         connection->job = std::move(job);
         if (!is_new) return write(connection);
-        // The connection limit is reached, so the attempt is not sent; `superseded` does not count against
+        // The connection limit is reached, so the attempt is not sent; `not_sent` does not count against
         // the server.
         if (open_ > limits_.connections) return end(connection, Outcome::not_sent, nullptr, false);
         if (!connection->job->probe)
--- a/src/hop/server_answer.hpp
+++ b/src/hop/server_answer.hpp
@@ -18,8 +18,8 @@
 };
 
 // Returns none if the answer may be passed on unchanged. Only Not-Run and status 421 prove that the request
-// did not run. A success without a stamp, and a status that promises that the request has not run (408, 429,
-// 503) without Not-Run, count as a broken answer.
+// did not run. A success without a stamp or with an encoded body, and a status that promises that the request
+// has not run (408, 429, 503) without Not-Run, count as a broken answer.
 std::optional<Failure> failure_of_answer(const ServerAnswerHead& head);
 
 // The failure of an attempt that ended without an answer.
--- a/src/net/dialect.cpp
+++ b/src/net/dialect.cpp
@@ -28,7 +28,7 @@
 
 AttemptResult PlatformDialect::read(Outcome outcome, const HttpResponse* response, RequestContext&) {
     // A 4xx concerns the request and not the server: any other server would answer the same. It is passed on
-    // unchanged, and the outcome `recalled` counts neither for nor against the server. 429 is not passed on,
+    // unchanged, and the outcome `cancelled` counts neither for nor against the server. 429 is not passed on,
     // as it would tell the client that the request never ran.
     const unsigned status = response ? response->result_int() : 0;
     const bool unfit = status >= 400 && status < 500 && status != 408 && status != 429;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -175,7 +175,7 @@
         input_.commit(asio::buffer_copy(input_.prepare(n), asio::buffer(read_buffer_, n)));
         if (state_ == State::idle) return begin_request();
         if (state_ == State::reading) return parse();
-        // A pipelined request; it is parsed after the answer. AttemptResult continues to detect a disconnect.
+        // A pipelined request; it is parsed after the answer. Reads go on, to detect a disconnect.
         if (state_ == State::waiting && input_.size() < kMaxPipelinedBytes) receive();
     }
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -22,7 +22,7 @@
 public:
     struct Limits {
         std::size_t connections = 400;
-        std::size_t clients_hold = 300;     // connections that clients hold at most at their end for requests
+        std::size_t clients_hold = 300;     // the clients' own limit on the connections for requests
         std::size_t body_bytes = 16 << 20;  // of all pending requests together
         // ms that an answer, or one piece of a paced answer, may wait for the client to read it.
         Millis write_time = 5000;
--- a/src/net/resource_shares.hpp
+++ b/src/net/resource_shares.hpp
@@ -7,8 +7,8 @@
     // Fraction of the descriptors left after the program's own needs that goes to client connections, between
     // 0 and 1. Clients get more than servers because they also hold idle and never-used connections.
     double client_descriptors = 0.62;
-    // Fraction of all descriptors that clients hold at most at their end for requests, as the platform
-    // specifies.
+    // Fraction of all descriptors that equals the clients' own limit on their connections for requests, which
+    // the platform specifies.
     double clients_hold = 1.0 / 3;
     // Fraction of the memory for the bodies of pending requests. A body exists up to three times: as read, as
     // kept for further attempts, and as being sent.
--- a/src/proxy/heartbeat_resource.hpp
+++ b/src/proxy/heartbeat_resource.hpp
@@ -1,5 +1,5 @@
-// HTTP resources of a proxy's control API: heartbeats and deregistration of the application server beside it
-// (PUT and DELETE /api/servers/ID) and the proxy's readiness (GET /api/ready). Entry types:
+// HTTP resources at a proxy's `control` address: heartbeats and deregistration of the application server
+// beside it (PUT and DELETE /api/servers/ID) and the proxy's readiness (GET /api/ready). Entry types:
 // HeartbeatResource, ReadinessResource.
 //
 // A heartbeat is acknowledged only after the admission has applied it. The admission then acts on it even if
--- a/src/routing/server_directory.hpp
+++ b/src/routing/server_directory.hpp
@@ -19,7 +19,7 @@
     std::uint32_t ip = 0;
     std::uint16_t traffic_port = 0;
     std::string zone;
-    Phase phase = Phase::on;  // fading: gets no new requests, running ones go on
+    Phase phase = Phase::on;  // draining: gets no new requests, running ones go on
     Millis born = 0;          // start time as passed to the module; 0: long ago
     double units = 1;         // capacity in slots
 };
@@ -34,7 +34,7 @@
     };
 
     // The admission of this instance refuses all requests for now, or is another instance's: the server is
-    // listed as fading for 700 ms.
+    // listed as draining for 700 ms.
     void avoid(Millis now, const std::string& instance_id);
     // `each_node` calls its visitor with each known node. Servers of nodes that are gone are left out.
     Lists list(Millis now, const EachNode& each_node);
--- a/src/shutdown/shutdown_sequence.hpp
+++ b/src/shutdown/shutdown_sequence.hpp
@@ -3,7 +3,7 @@
 //
 // Readiness is withdrawn and answers close their connections from the start. Then, in this order:
 //   close_admission   by now callers have learned that this node leaves: the admission starts nothing new
-//   refuse_new        no new connections are accepted; a request that arrives on an open one is refused, as
+//   refuse_new        no new connections are accepted; a request completed on an open one is refused, as
 //                     there may not be enough time left to answer it
 //   answer_held       every pending request is answered: refused if it never ran, else failed. Late enough
 //                     that a server that still runs a request had its time
