--- a/src/plan/pace.hpp
+++ b/src/plan/pace.hpp
@@ -12,7 +12,7 @@
 
 // Whether this outcome warrants an early report because planners can't expect it: the failure of a server in
 // use, or an in-time response of a server that the plans have removed (`left_alone`), that is, a successful
-// trial. Outcomes that don't depend on the server's health (recalled, superseded) never warrant one.
+// trial. Outcomes that don't depend on the server's health (cancelled, not_sent) never warrant one.
 inline bool is_urgent(kelplb::Outcome outcome, bool late, bool left_alone) {
     using kelplb::Outcome;
     if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return false;
--- a/src/sim_mesh/control_day.cpp
+++ b/src/sim_mesh/control_day.cpp
@@ -39,7 +39,7 @@
     ControlPlayed play() {
         try {
             run_day();
-        } catch (const std::exception& fault) {  // ClusterFault, raft::Broken
+        } catch (const std::exception& fault) {  // ClusterFault, raft::ProtocolViolation
             accuse("BROKEN", fault.what());
         }
         finish();
