--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -1,15 +1,19 @@
-// The admission beside each application server (standard term: server-side admission inbound). The only way
-// to the server, so each promise that must hold though news is late is kept here: a request once a life
-// (TWICE, UNASKED), nothing new after an acknowledged `closing` (DRAIN), the right life alone (ROUTE), never
-// over capacity. Entry type: Admission. Called by proxy::Inbound; free of I/O: events go in with their time,
-// what may begin comes out.
+// Admission control in front of one application server. Every request to the server passes through it, so the
+// guarantees that must hold even while membership information is stale are enforced here: a request runs at
+// most once per server instance (rules TWICE, UNASKED), no request starts after an acknowledged `closing`
+// (DRAIN), requests run only on the instance that they were routed to (ROUTE), and never more requests run
+// than the server has capacity for.
 //
-// Besides slots, the machine's link is a resource: what it can't carry in time is refused before it runs.
+// The machine's network link is a second resource beside the server's slots: a request whose answer the link
+// could not carry in time is refused before it runs.
+//
+// Entry type: Admission. Called by InboundRequests. Does no I/O and reads no clock: callers pass the current
+// time. Not thread-safe.
 //
 // Invariants:
-//   working() <= max(capacity, what it was when they began)      begin() only while there is a slot
-//   what was answered not_run is forgotten: it never began        refuse() is the only other way out of the
-//   queue nothing begins while closing() or unknown()                   offer(), next()
+//   - working() does not exceed the capacity, except after the capacity was lowered while requests ran;
+//   - a request that was refused or rejected has not started, and its id may be offered again;
+//   - no request starts while the instance is unknown, the server is closing or the proxy is leaving.
 #pragma once
 
 #include <cstdint>
@@ -23,36 +27,41 @@
 
 namespace cobaltshift::admission {
 
-using Millis = double;  // steady, from any origin
-using Ticket = std::uint64_t;
+using Millis = double;         // monotonic; the origin is arbitrary
+using Ticket = std::uint64_t;  // identifies one offer; unique within an Admission
 
 struct Settings {
-    std::size_t remembered = 4096;  // ids of requests that run once, the newest
-    double queue_by_capacity = 3;   // so many times the capacity may wait
-    double hopeful =
-        0.7;  // of its target: what is expected later than that, and than `patience`, does not wait
-    Millis patience = 250;
+    std::size_t remembered_ids = 4096;  // newest ids of once-only requests kept to detect repeats
+    double queue_per_slot = 3;          // queue length limit, as a multiple of the capacity
+    // A request is refused as `full` if its answer is expected later than both of these: this part of its
+    // target, and the smaller of expected_limit_ms and half the time left to its deadline.
+    double expected_limit_targets = 0.7;
+    Millis expected_limit_ms = 250;
 };
 
+// A request that asks for a slot. Times are absolute, on the clock of the caller.
 struct Offer {
     Ticket ticket = 0;
     std::string id;        // Request-Id
-    std::string life;      // of the server that the caller means
-    bool once = true;      // may run at most once (registered)
-    bool may_wait = true;  // else it is refused if no slot is free now
-    int rank = 0;          // the route's priority, 0 highest
-    Millis deadline = 0;   // of its client
-    Millis due = 0;        // when its answer is worth most at the latest: the order of the queue
-    // Of a long answer: until the machine's link has carried what was promised before, and for its own bytes.
+    std::string life;      // of the server that the caller routed it to
+    bool once = true;      // may run at most once (registered route)
+    bool may_wait = true;  // false: refused if no slot is free now
+    int rank = 0;          // priority of the route, 0 is the highest
+    Millis deadline = 0;   // when the client gives up
+    Millis due = 0;        // arrival plus the route's target latency; orders the queue
+    // For a long answer, in ms: until the link has carried the answers promised before it, and the time to
+    // transmit the answer itself. Zero for short answers.
     Millis link_wait = 0, link_time = 0;
 };
 
+// What happens to an offer: it starts now, waits in the queue, or is refused without having run.
 enum class Act : std::uint8_t { begin, wait, refuse };
 struct Answer {
     Act act = Act::refuse;
-    Reason reason = Reason::full;
+    Reason reason = Reason::full;  // meaningful if `act` is refuse
 };
-struct Turned {
+// A request that left the queue without having run.
+struct Rejected {
     Ticket ticket;
     Reason reason;
 };
@@ -61,31 +70,38 @@
 public:
     explicit Admission(Settings settings = {}) : settings_(settings) {}
 
-    // The server's own word, first-hand. False: an older call than the newest known of this life, or of a
-    // life that is over.
+    // A heartbeat of the server itself. Returns false, and changes nothing, if it is not newer than the last
+    // one of this instance (by `call_seq`) or comes from an instance that has ended. Another instance id than
+    // the current one means that the server has restarted. A capacity of 0 counts as 1.
     bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
-    // By its health check, after a restart of ours: its life and that it is not leaving; beats know better.
+    // The server answered a health check, which this proxy sends after its own restart. Ignored once a
+    // heartbeat has been received, as heartbeats are more precise.
     void seen_well(const std::string& life, std::uint32_t capacity);
-    // DELETE: it is gone.
+    // The server has deregistered itself (DELETE). Ignored for any other instance than the current one.
     void gone(const std::string& life);
-    // The proxy itself ends: nothing new from here on.
+    // The proxy itself shuts down: no request starts from now on.
     void leave() { leaving_ = true; }
 
+    // Starts the request, queues it or refuses it.
     Answer offer(Millis now, const Offer& offer);
-    // It has ended, however; `took` ms at the server (0: says nothing). `ran` false: the server certainly did
-    // not begin it, and its id may come again.
+    // A started request has ended, whatever its outcome. `took`: its time at the server in ms, 0 if that says
+    // nothing about the server's speed. `ran` is false only if the server certainly did not run it: its id
+    // may then be offered again.
     void ended(Ticket ticket, Millis took, bool ran = true);
-    // Its caller has left: out of the queue (true), or at work (false).
+    // The caller no longer waits. Returns true if the request was removed from the queue; false if it is not
+    // queued (it runs, or is unknown).
     bool withdraw(Ticket ticket);
 
-    // What may begin now, in order; each counts as working from here on.
-    std::vector<Ticket> next(Millis now);
-    // What is in the queue and has no use in it any more: the inbound answers these as not run.
-    std::vector<Turned> turned(Millis now);
-    // When turned() should be asked next; 0: no need.
-    Millis due() const;
+    // Removes from the queue and returns, in order, the requests that start now. They occupy slots until
+    // ended().
+    std::vector<Ticket> start_next(Millis now);
+    // Removes from the queue and returns the requests that can no longer run here. The caller answers them as
+    // not run.
+    std::vector<Rejected> take_rejected(Millis now);
+    // The earliest deadline in the queue, when take_rejected() should be called next; 0: the queue is empty.
+    Millis next_deadline() const;
 
-    const std::string& life() const { return life_; }
+    const std::string& life() const { return instance_id_; }
     std::uint32_t capacity() const { return capacity_; }
     bool closing() const { return closing_; }
     bool leaving() const { return leaving_; }
@@ -93,44 +109,46 @@
     std::size_t waiting() const { return queue_.size(); }
 
 private:
-    // The c-mu rule: what is worth most a slot's time goes first, since short calls are what other servers'
-    // runs wait for; of one kind, by when it is due.
+    // Queue order after the c-mu rule: the request with the highest value per time in a slot goes first, as
+    // requests of other servers wait for short calls. Requests of equal cost go by due time.
     struct Order {
-        double cost;  // a slot's time by its target, over its rank's worth
+        double cost;  // target latency, doubled for each rank below the highest
         Millis due;
         Ticket ticket;
         auto operator<=>(const Order&) const = default;
     };
     struct Waiting {
         Offer offer;
-        Millis since;
+        Millis since;  // when it was queued
     };
-    Millis wait_before(const Order& order) const;
-    // An answer expected so much later would come too late to be worth a slot, or the link.
-    bool too_late(Millis expected, const Offer& offer, Millis now) const;
-    bool open() const { return !life_.empty() && !closing_ && !leaving_; }
-    void new_life(const std::string& life);
-    void remember(const std::string& id);
+    Millis expected_queue_wait(const Order& order) const;
+    // Whether an answer that is expected in `expected` ms comes too late to be worth a slot or the link; see
+    // Settings.
+    bool exceeds_expected_limit(Millis expected, const Offer& offer, Millis now) const;
+    bool accepting() const { return !instance_id_.empty() && !closing_ && !leaving_; }
+    void switch_instance(const std::string& life);
+    void remember_started(const std::string& id);
 
     Settings settings_;
-    std::string life_;
+    std::string instance_id_;
     std::uint32_t capacity_ = 0;
     std::uint64_t call_seq_ = 0;
-    bool closing_ = false, gone_ = false, leaving_ = false, first_hand_ = false;
+    bool closing_ = false, deregistered_ = false, leaving_ = false, heartbeat_received_ = false;
     std::map<Order, Waiting> queue_;
-    std::unordered_map<Ticket, Order> places_;
+    std::unordered_map<Ticket, Order> queue_order_;
     struct Working {
         Millis target;
-        std::string id;  // of what may run once only
+        std::string id;  // empty for requests that may run more than once
     };
     void start(const Offer& offer, Millis target);
     std::unordered_map<Ticket, Working> working_;
-    std::vector<std::string> past_lives_;  // the newest last: a late call of theirs means nothing any more
-    std::unordered_map<std::string, std::uint64_t> ran_;  // once-only ids, by order of coming
-    std::map<std::uint64_t, std::string> ran_order_;
-    std::uint64_t ran_count_ = 0;
-    Millis targets_ = 0;  // of those at work, summed
-    double pace_ = 0;     // time at the server against the target, smoothed
+    std::vector<std::string> former_instances_;  // the newest last; their late heartbeats are ignored
+    // Ids of once-only requests that have started, with the order in which they did, to evict the oldest.
+    std::unordered_map<std::string, std::uint64_t> started_ids_;
+    std::map<std::uint64_t, std::string> started_ids_by_order_;
+    std::uint64_t next_start_order_ = 0;
+    Millis working_targets_sum_ = 0;  // target latencies of the running requests
+    double service_time_ratio_ = 0;   // time at the server relative to the target; smoothed, at most 1
 };
 
 }  // namespace cobaltshift::admission
--- a/src/admission/inbound_requests.cpp
+++ b/src/admission/inbound_requests.cpp
@@ -5,8 +5,9 @@
 namespace cobaltshift::admission {
 
 namespace {
-// The server stops by itself at the deadline that it is handed; a little later it is taken for silent.
-constexpr Millis kLate = 40;
+// The server is told the deadline and stops by itself. A request that has not ended this many milliseconds
+// after it expires.
+constexpr Millis kExpiryMarginMs = 40;
 }  // namespace
 
 bool InboundRequests::beat(Millis now, const std::string& life, std::uint32_t capacity, bool closing,
@@ -45,28 +46,28 @@
     Request& request = requests_[ticket];
     request.deadline = arrival.deadline;
     request.kind = arrival.kind;
-    if (link) promise_link(request, offer, *link);
+    if (link) reserve_link(request, offer, *link);
     const Answer said = admission_.offer(now, offer);
     if (said.act == Act::begin) begin(now, ticket);
     if (said.act == Act::refuse) refuse(ticket, said.reason);
     if (said.act == Act::wait) look_soon();
 }
 
-// Long answers alone: short ones pass between their pieces.
-void InboundRequests::promise_link(Request& request, Offer& offer, const LinkState& link) {
+// Only long answers reserve link time: short ones are sent between the pieces of long ones.
+void InboundRequests::reserve_link(Request& request, Offer& offer, const LinkState& link) {
     const double bytes = answer_sizes_.expected(request.kind);
     if (static_cast<std::size_t>(bytes) < link.long_from) return;
-    offer.link_wait = link.backlog + promised_bytes_ / link.bytes_per_ms;
+    offer.link_wait = link.backlog + reserved_bytes_ / link.bytes_per_ms;
     offer.link_time = bytes / link.bytes_per_ms;
-    request.promised_bytes = bytes;
-    promised_bytes_ += bytes;
+    request.reserved_bytes = bytes;
+    reserved_bytes_ += bytes;
 }
 
 void InboundRequests::begin(Millis now, Ticket ticket) {
     Request& request = requests_.at(ticket);
-    request.at_work = true;
-    request.began = now;
-    const Millis until = request.deadline + kLate;
+    request.started = true;
+    request.started_at = now;
+    const Millis until = request.deadline + kExpiryMarginMs;
     deadlines_.emplace(std::pair(until, ticket), true);
     executor_.begin(ticket, until);
     look_soon();
@@ -80,7 +81,7 @@
 void InboundRequests::forget(Ticket ticket) {
     const auto at = requests_.find(ticket);
     if (at == requests_.end()) return;
-    promised_bytes_ -= at->second.promised_bytes;
+    reserved_bytes_ -= at->second.reserved_bytes;
     requests_.erase(at);
 }
 
@@ -88,10 +89,10 @@
     const auto at = requests_.find(ticket);
     if (at == requests_.end()) return;
     const Request& request = at->second;
-    deadlines_.erase({request.deadline + kLate, ticket});
+    deadlines_.erase({request.deadline + kExpiryMarginMs, ticket});
     if (end.answer_bytes) answer_sizes_.learn(request.kind, *end.answer_bytes);
     const bool worked = !end.failure || end.failure->execution != Execution::not_run;
-    admission_.ended(ticket, end.success && worked ? now - request.began : 0, worked);
+    admission_.ended(ticket, end.success && worked ? now - request.started_at : 0, worked);
     forget(ticket);
     look_soon();
 }
@@ -99,7 +100,7 @@
 bool InboundRequests::withdraw(Ticket ticket) {
     const auto at = requests_.find(ticket);
     if (at == requests_.end()) return true;
-    if (at->second.at_work) {
+    if (at->second.started) {
         executor_.cancel(ticket);
         return false;
     }
@@ -109,29 +110,29 @@
 }
 
 void InboundRequests::look_soon() {
-    if (std::exchange(looking_, true)) return;
+    if (std::exchange(advance_scheduled_, true)) return;
     executor_.look_soon();
 }
 
 void InboundRequests::timer_fired(Millis now) {
-    armed_for_ = 0;
+    timer_at_ = 0;
     look(now);
 }
 
 void InboundRequests::look(Millis now) {
-    looking_ = false;
-    for (const Turned& turned : admission_.turned(now)) refuse(turned.ticket, turned.reason);
-    for (const Ticket ticket : admission_.next(now)) begin(now, ticket);
+    advance_scheduled_ = false;
+    for (const Rejected& rejected : admission_.take_rejected(now)) refuse(rejected.ticket, rejected.reason);
+    for (const Ticket ticket : admission_.start_next(now)) begin(now, ticket);
     while (!deadlines_.empty() && deadlines_.begin()->first.first <= now) {
         const Ticket late = deadlines_.begin()->first.second;
         deadlines_.erase(deadlines_.begin());
         executor_.expire(late);
     }
-    Millis next = admission_.due();
+    Millis next = admission_.next_deadline();
     if (!deadlines_.empty() && (next == 0 || deadlines_.begin()->first.first < next))
         next = deadlines_.begin()->first.first;
-    if (next == 0 || next == armed_for_) return;
-    armed_for_ = next;
+    if (next == 0 || next == timer_at_) return;
+    timer_at_ = next;
     executor_.look_at(next);
 }
 
--- a/src/admission/inbound_requests.hpp
+++ b/src/admission/inbound_requests.hpp
@@ -1,9 +1,12 @@
-// Requests on the server's side of a hop, from their coming to their answer: offered to the Admission, begun,
-// timed out, withdrawn. Entry type: InboundRequests. Free of I/O: an Executor carries out what is decided.
-// Driven over sockets by proxy::Inbound, in virtual time by sim_mesh.
+// Life cycle of the requests on the server side of a hop, from arrival to answer: offers them to the
+// Admission, starts them, enforces their deadlines and withdraws those whose callers have left. Does no I/O:
+// an Executor carries out the decisions. Driven over sockets by proxy::Inbound and in virtual time by
+// sim_mesh. Entry type: InboundRequests. Not thread-safe.
 //
-// Invariants: each request is answered once, or its caller has left; nothing is begun but what the Admission
-// let begin; what has begun is held until the executor says how it ended.
+// Invariants:
+//   - each request is answered exactly once, unless its caller has left;
+//   - only requests that the Admission let start are passed to the server;
+//   - a started request is kept until the executor reports its end.
 #pragma once
 
 #include <map>
@@ -16,63 +19,72 @@
 
 namespace cobaltshift::admission {
 
+// A request as it arrives from another proxy.
 struct Arrival {
-    std::string id;    // Request-Id
-    std::string life;  // of the server that the caller means
-    bool once = true;
-    bool may_wait = false;
-    int rank = 0;
+    std::string id;         // Request-Id
+    std::string life;       // of the server that the caller routed it to
+    bool once = true;       // may run at most once
+    bool may_wait = false;  // may be queued if no slot is free
+    int rank = 0;           // priority of the route, 0 is the highest
     AnswerSizes::Kind kind;
-    Millis target = 0;    // from now
-    Millis deadline = 0;  // of its client
+    Millis target = 0;    // target latency, counted from now
+    Millis deadline = 0;  // when the client gives up; absolute
 };
 
-// The machine's link, over which answers leave.
+// The machine's network link, over which answers leave.
 struct LinkState {
-    Millis backlog = 0;  // until it has carried what waits for it
+    Millis backlog = 0;  // time to transmit everything that is queued for it
     double bytes_per_ms = 0;
-    std::size_t long_from = 0;  // bytes; shorter answers pass between the pieces of long ones
+    std::size_t long_from = 0;  // answers of fewer bytes are interleaved with long ones and reserve nothing
 };
 
-// How a request that was begun ended.
+// How a started request ended.
 struct ServerEnd {
     std::optional<Failure> failure;           // none: the server's answer is passed on
     bool success = false;                     // the answer is a success
     std::optional<std::size_t> answer_bytes;  // none: no answer came
 };
 
+// Carries out the decisions of InboundRequests.
 class Executor {
 public:
     virtual ~Executor() = default;
-    // Passes it to the server, which has until then; ended() follows.
+    // Passes the request to the server, which has until the given time. InboundRequests::ended() must follow.
     virtual void begin(Ticket ticket, Millis until) = 0;
-    virtual void refuse(Ticket ticket, Reason reason) = 0;  // it has not run; forgotten here
-    virtual void expire(Ticket ticket) = 0;                 // its time at the server is up; ended() follows
-    virtual void cancel(Ticket ticket) = 0;                 // its caller has left; ended() follows
-    virtual void look_soon() = 0;                           // calls look() a turn later
-    virtual void look_at(Millis when) = 0;                  // calls look() then, in place of the time before
+    // Answers a request that has not run. InboundRequests has already dropped it.
+    virtual void refuse(Ticket ticket, Reason reason) = 0;
+    // The server did not answer in time. InboundRequests::ended() must follow.
+    virtual void expire(Ticket ticket) = 0;
+    // The caller of a started request has left. InboundRequests::ended() must follow.
+    virtual void cancel(Ticket ticket) = 0;
+    // Calls InboundRequests::look() in the next turn of the event loop.
+    virtual void look_soon() = 0;
+    // Calls InboundRequests::timer_fired() at the given time; replaces the time set before.
+    virtual void look_at(Millis when) = 0;
 };
 
 class InboundRequests {
 public:
     explicit InboundRequests(Executor& executor) : executor_(executor) {}
 
-    // ---- The server's own word; see Admission
+    // ---- State of the server; see Admission
     bool beat(Millis now, const std::string& life, std::uint32_t capacity, bool closing,
               std::uint64_t call_seq);
     void seen_well(Millis now, const std::string& life, std::uint32_t capacity);
     void gone(Millis now, const std::string& life);
     void leave(Millis now);
 
-    // ---- Requests. `link`: none where its rate is not known.
-    Ticket next_ticket() { return next_++; }
+    // ---- Requests
+    Ticket next_ticket() { return next_ticket_++; }
+    // `link`: none if the link's rate is unknown; nothing is then reserved on it.
     void arrived(Millis now, Ticket ticket, const Arrival& arrival, const std::optional<LinkState>& link);
     void ended(Millis now, Ticket ticket, const ServerEnd& end);
-    // Its caller has left. True: it is forgotten; false: it was begun, and ended() follows.
+    // The caller has left. Returns true if the request has been dropped; false if it has started: it is then
+    // cancelled, and ended() follows.
     bool withdraw(Ticket ticket);
-    // What may begin, what is turned away, what is late.
+    // Rejects, starts and expires requests as far as they are due.
     void look(Millis now);
-    // The time that look_at() named has come.
+    // The time that was passed to Executor::look_at() has come.
     void timer_fired(Millis now);
 
     const Admission& admission() const { return admission_; }
@@ -80,12 +92,12 @@
 
 private:
     struct Request {
-        Millis deadline = 0, began = 0;
-        bool at_work = false;
+        Millis deadline = 0, started_at = 0;
+        bool started = false;
         AnswerSizes::Kind kind;
-        double promised_bytes = 0;  // of the link, until its answer is handed to it
+        double reserved_bytes = 0;  // on the link, until its answer is passed to it
     };
-    void promise_link(Request& request, Offer& offer, const LinkState& link);
+    void reserve_link(Request& request, Offer& offer, const LinkState& link);
     void begin(Millis now, Ticket ticket);
     void refuse(Ticket ticket, Reason reason);
     void forget(Ticket ticket);
@@ -94,12 +106,12 @@
     Executor& executor_;
     Admission admission_;
     AnswerSizes answer_sizes_;
-    double promised_bytes_ = 0;
+    double reserved_bytes_ = 0;
     std::unordered_map<Ticket, Request> requests_;
-    std::map<std::pair<Millis, Ticket>, bool> deadlines_;  // of those at work
-    Ticket next_ = 1;
-    Millis armed_for_ = 0;
-    bool looking_ = false;
+    std::map<std::pair<Millis, Ticket>, bool> deadlines_;  // when started requests expire
+    Ticket next_ticket_ = 1;
+    Millis timer_at_ = 0;
+    bool advance_scheduled_ = false;
 };
 
 }  // namespace cobaltshift::admission
--- a/src/admission/module_settings.hpp
+++ b/src/admission/module_settings.hpp
@@ -1,6 +1,6 @@
-// How the decision module is set in the mesh: its classes, fixed by kind, rank and aim, and what of it is off
-// there. Entries: module_settings(), class_of(). Used by the proxy and by the world of scenarios; free of
-// I/O.
+// Settings of the balancing library (kelplb) inside the mesh: a fixed set of request classes by effect,
+// priority and target latency, with the library's own admission turned off. Entry points: module_settings(),
+// class_index_of(). Used by the proxy and by sim_mesh. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,12 @@
 
 namespace cobaltshift::admission {
 
-constexpr kelplb::Millis kWarmWithin = 3000;  // from its start a server is taken to be slow so long
+constexpr kelplb::Millis kWarmUpMs = 3000;  // how long after its start a server counts as warming up
 
-// `proxies`: how many share the servers, about.
+// `zone`: of this proxy; `proxies`: about how many proxies share the servers.
 kelplb::Settings module_settings(std::optional<kelplb::ZoneId> zone, std::uint32_t proxies);
-// Of a request that may run `once` only, on a route of this rank (0 highest) and target in ms.
-std::uint32_t class_of(bool once, int rank, double target_ms);
+// The index into Settings::classes for a request. `once`: it may run at most once; `rank`: priority of its
+// route, 0 is the highest. Rank and target are clamped to what the classes cover.
+std::uint32_t class_index_of(bool once, int rank, double target_ms);
 
 }  // namespace cobaltshift::admission
--- a/src/caller/caller.hpp
+++ b/src/caller/caller.hpp
@@ -1,34 +1,35 @@
-// The caller's side of a service's servers: requests, their attempts and the servers' table round the
-// decision module. What happens becomes events of the module, in order and never re-entrantly; its actions
-// are carried out in order. Nothing is chosen, retried or refused here.
+// Caller side of one service: the table of its servers and the state of requests and their attempts, around
+// the decision module (kelplb::Balancer). Incoming events are queued and handled by the module in order,
+// never re-entrantly, and the module's actions are carried out in order. All decisions (which server, whether
+// to retry or refuse) are the module's.
 //
-// Entry type: Caller. Free of I/O: sockets, time, messages and the protocol's words are the Surroundings'.
-// Driven over sockets by net::Sidecar, in virtual time by sim_mesh.
+// Entry type: Caller. Does no I/O: sockets, time, messages and the protocol are provided by the Environment.
+// Driven over sockets by Sidecar and in virtual time by sim_mesh. Not thread-safe.
 //
 // Invariants:
-//   - a request gets one final answer;
-//   - no attempt goes to a server that is not listed as open, whatever was decided before it was told away;
-//   - the module hears of the end of every attempt that it asked for, once.
+//   - a request gets exactly one final answer, unless its client has left;
+//   - no attempt is sent to a server that is not listed with phase `on`, even if the module chose it before;
+//   - the module is informed exactly once of the end of each attempt that it asked for.
 //
-// What Surroundings provide:
-//   types   RequestPtr, Response, ClientPtr, Endpoint, Story (of one request)
+// An Environment provides:
+//   types   RequestPtr, Response, ClientPtr, Endpoint, Story (protocol state of one request)
 //   Millis now()
-//   void post_pump()                 calls pump() a turn later
-//   void wake_at(Millis)             calls wake() then, in place of the time before
+//   void post_pump()         calls pump() in the next turn of the event loop
+//   void wake_at(Millis)     calls wake() at that time; replaces the time set before
 //   void send(AttemptKey, ServerId, const Endpoint&, const RequestPtr&, Millis until)
 //   void expire(AttemptKey)  void cancel(AttemptKey)  void withdraw_request(RequestId)
 //   void withdraw_server(ServerId)  void retire(ServerId)  void close_idle(ServerId)
 //   void probe(ServerId, const Endpoint&)
-//   RequestArrived classify(const RequestPtr&, Story&)      all but the id and the time left
+//   RequestArrived classify(const RequestPtr&, Story&)    fills all but the id and the time left
 //   bool may_send(const RequestPtr&, Story&, const std::string& server)
 //   Reading read(Outcome, const Response*, Story&)
-//   void answer(const ClientPtr&, Response&&, bool own)     `own`: not a server's
+//   void answer(const ClientPtr&, Response&&, bool own)   `own`: generated here, not by a server
 //   Response refusal(Story&, Millis retry_in)  Response failure(Story&)
 //   ZoneId zone_number(const std::string&)
-//   void carry_out(const TellPeer&) (const Subscribe&) (const FetchList&)
+//   void carry_out(const TellPeer&), (const Subscribe&) and (const FetchList&)
 //   void log(const std::string& text, const std::string& server)
-//   void arrived(std::uint32_t class_index)  void sent(ServerId)  void ended(ServerId, Outcome, Millis,
-//   class)
+//   void arrived(std::uint32_t class_index)  void sent(ServerId)
+//   void ended(ServerId, Outcome, Millis duration, std::uint32_t class_index)
 #pragma once
 
 #include <algorithm>
@@ -48,21 +49,21 @@
 
 namespace cobaltshift::caller {
 
-// How an attempt's end reads in the protocol's words.
+// How the protocol interprets the end of an attempt.
 struct Reading {
     Outcome outcome;
-    bool final = false;   // the answer goes to the client as it is, once tidied
-    bool offered = true;  // a server had it before it
+    bool final = false;          // the answer is passed to the client
+    bool reached_server = true;  // a server received the request
 };
 
-template <class Surroundings>
+template <class Environment>
 class Caller {
 public:
-    using RequestPtr = typename Surroundings::RequestPtr;
-    using Response = typename Surroundings::Response;
-    using ClientPtr = typename Surroundings::ClientPtr;
-    using Endpoint = typename Surroundings::Endpoint;
-    using Story = typename Surroundings::Story;
+    using RequestPtr = typename Environment::RequestPtr;
+    using Response = typename Environment::Response;
+    using ClientPtr = typename Environment::ClientPtr;
+    using Endpoint = typename Environment::Endpoint;
+    using Story = typename Environment::Story;
 
     struct Server {
         std::string name;
@@ -70,11 +71,11 @@
         Phase phase = Phase::on;
         Millis born = 0;
         bool listed = false;
-        std::uint32_t out = 0;  // attempts and probes
+        std::uint32_t in_flight = 0;  // attempts and probes
     };
 
-    Caller(Surroundings& surroundings, const Settings& settings, std::uint64_t seed)
-        : surroundings_(surroundings), balancer_(settings, seed) {}
+    Caller(Environment& environment, const Settings& settings, std::uint64_t seed)
+        : environment_(environment), balancer_(settings, seed) {}
     Caller(const Caller&) = delete;
     Caller& operator=(const Caller&) = delete;
 
@@ -83,7 +84,7 @@
     void push(Event event) {
         events_.push_back(std::move(event));
         if (std::exchange(pump_posted_, true)) return;
-        surroundings_.post_pump();
+        environment_.post_pump();
     }
 
     void pump() {
@@ -92,18 +93,18 @@
             const Event event = std::move(events_.front());
             events_.pop_front();
             actions_.clear();
-            balancer_.handle(surroundings_.now(), event, actions_);
+            balancer_.handle(environment_.now(), event, actions_);
             for (const Action& action : actions_)
                 std::visit([this](const auto& what) { this->carry_out(what); }, action);
             if (const auto* ended = std::get_if<AttemptEnded>(&event)) drop_request(ended->id);
         }
-        arm();
+        arm_timer();
     }
 
     RequestId arrived(RequestPtr message, Millis time_left, ClientPtr client) {
         const RequestId id = next_request_++;
         Request& request = requests_[id];
-        RequestArrived event = surroundings_.classify(message, request.story);
+        RequestArrived event = environment_.classify(message, request.story);
         event.id = id;
         event.time_left = time_left;
         request.class_index = event.class_index;
@@ -111,7 +112,7 @@
         request.client = std::move(client);
         ++unanswered_;
         push(event);
-        surroundings_.arrived(event.class_index);
+        environment_.arrived(event.class_index);
         return id;
     }
 
@@ -120,13 +121,13 @@
         if (at == requests_.end() || at->second.ended) return;
         at->second.ended = true;
         --unanswered_;
-        surroundings_.withdraw_request(id);
+        environment_.withdraw_request(id);
         push(ClientGone{id});
         drop_request(id);
     }
 
-    // Every request gets its final answer now, by what is known of it; what has not begun to be written never
-    // will be, and all else that is out is no longer waited for.
+    // Gives every request its final answer now: a refusal if it certainly has not run, else a failure.
+    // Attempts that have not begun to be written are withdrawn, all others expire.
     void answer_all() {
         std::vector<RequestId> open;
         for (const auto& [id, request] : requests_)
@@ -134,30 +135,32 @@
         for (const RequestId id : open) answer_now(id);
     }
 
-    // `hosts`: name, dial, zone, cell, phase, born and units of each. Gives what the module was told.
+    // Updates the server table from a discovery list. `whole`: servers that are not in the list are gone.
+    // `hosts`: a range of structs with name, dial, zone, cell, phase, born and units. Returns the list that
+    // was passed to the module.
     template <class Hosts>
     std::vector<ServerInfo> told(ListKind kind, bool whole, const Hosts& hosts) {
         ServerList event{kind, {}};
         if (whole)
             for (auto& [id, server] : servers_) server.listed = false;
         for (const auto& host : hosts) {
-            const ServerId id = number_of(host.name);
+            const ServerId id = server_id_of(host.name);
             Server& server = servers_[id];
-            // Another process, or another address: what is open leads nowhere.
-            if (server.born != host.born || server.dial != host.dial) surroundings_.retire(id);
+            // Another process or another address: the open connections are of no use.
+            if (server.born != host.born || server.dial != host.dial) environment_.retire(id);
             server.born = host.born;
             server.phase = host.phase;
             server.listed = host.phase != Phase::off;
             if (server.listed) server.dial = host.dial;
             event.servers.push_back(
-                {id, surroundings_.zone_number(host.zone), host.cell, host.phase, host.born, host.units});
+                {id, environment_.zone_number(host.zone), host.cell, host.phase, host.born, host.units});
         }
-        // Nothing that is still connecting goes to a server that drains or is gone: told is told from here
-        // on.
+        // Attempts that are still connecting to a draining or removed server are not sent: the new list
+        // applies from here on.
         std::vector<ServerId> closed;
         for (const auto& [id, server] : servers_)
             if (!server.listed || server.phase != Phase::on) closed.push_back(id);
-        for (const ServerId id : closed) surroundings_.withdraw_server(id);
+        for (const ServerId id : closed) environment_.withdraw_server(id);
         std::vector<ServerInfo> listed = event.servers;
         push(std::move(event));
         for (const ServerId id : closed) drop_server(id);
@@ -168,41 +171,42 @@
         const auto at = requests_.find(key.id);
         if (at == requests_.end()) return;
         Request& request = at->second;
-        --request.out;
+        --request.in_flight;
         const auto [sent_at, server_id] = request.sent[key.attempt];
-        AttemptEnded event{key.id, key.attempt, outcome, surroundings_.now() - sent_at, false};
-        const Reading reading = surroundings_.read(outcome, response, request.story);
+        AttemptEnded event{key.id, key.attempt, outcome, environment_.now() - sent_at, false};
+        const Reading reading = environment_.read(outcome, response, request.story);
         event.outcome = reading.outcome;
         if (reading.final) answer(key.id, request, std::move(*response), false);
         event.request_ended = request.ended;
         push(event);
-        surroundings_.ended(server_id, event.outcome, event.duration, request.class_index);
-        if (const auto server = servers_.find(server_id); server != servers_.end()) --server->second.out;
+        environment_.ended(server_id, event.outcome, event.duration, request.class_index);
+        if (const auto server = servers_.find(server_id); server != servers_.end())
+            --server->second.in_flight;
         drop_server(server_id);
     }
 
     void probe_ended(ServerId id, Outcome outcome, Millis duration) {
         push(ProbeEnded{id, outcome, duration});
-        if (const auto server = servers_.find(id); server != servers_.end()) --server->second.out;
+        if (const auto server = servers_.find(id); server != servers_.end()) --server->second.in_flight;
         drop_server(id);
     }
 
-    // The time that wake_at() named has come.
+    // The time that was passed to wake_at() has come.
     void wake() {
-        armed_for_ = 0;
-        const Millis now = surroundings_.now();
+        timer_at_ = 0;
+        const Millis now = environment_.now();
         while (!due_.empty() && due_.top().at <= now) {
             const Due due = due_.top();
             due_.pop();
             if (due.attempt)
-                surroundings_.expire(*due.attempt);
+                environment_.expire(*due.attempt);
             else
                 push(TimerFired{due.token});
         }
-        arm();
+        arm_timer();
     }
 
-    // ---- What it holds ---------------------------------------------------------------------------------
+    // ---- State -----------------------------------------------------------------------------------------
 
     const Balancer& balancer() const { return balancer_; }
     std::size_t unanswered() const { return unanswered_; }
@@ -214,13 +218,13 @@
         RequestPtr message;
         ClientPtr client;
         std::uint32_t class_index = 0;
-        std::uint32_t attempts = 0, out = 0;
+        std::uint32_t attempts = 0, in_flight = 0;
         bool ended = false;
         Story story;
-        std::vector<std::pair<Millis, ServerId>> sent;  // by attempt
+        std::vector<std::pair<Millis, ServerId>> sent;  // time and server, by attempt number
     };
-    // A time-out of an attempt comes before a timer for the same moment: a request that is over at its
-    // deadline has then seen how its attempt ended.
+    // A timer of the module, or the time-out of an attempt. At equal times, attempts expire first (lower
+    // rank), so that a request that ends at its deadline has seen how its attempt ended.
     struct Due {
         Millis at = 0;
         int rank = 0;
@@ -232,15 +236,15 @@
         }
     };
 
-    void arm() {
+    void arm_timer() {
         if (due_.empty()) return;
         const Millis next = due_.top().at;
-        if (armed_for_ == next) return;
-        armed_for_ = next;
-        surroundings_.wake_at(next);
+        if (timer_at_ == next) return;
+        timer_at_ = next;
+        environment_.wake_at(next);
     }
 
-    ServerId number_of(const std::string& name) {
+    ServerId server_id_of(const std::string& name) {
         const auto known = server_numbers_.find(name);
         if (known != server_numbers_.end()) return known->second;
         const ServerId id = server_number(name, [this](ServerId n) { return servers_.count(n) > 0; });
@@ -251,34 +255,34 @@
 
     void drop_server(ServerId id) {
         const auto at = servers_.find(id);
-        if (at == servers_.end() || at->second.listed || at->second.out > 0) return;
+        if (at == servers_.end() || at->second.listed || at->second.in_flight > 0) return;
         server_numbers_.erase(at->second.name);
         servers_.erase(at);
     }
 
     void drop_request(RequestId id) {
         const auto at = requests_.find(id);
-        if (at != requests_.end() && at->second.ended && at->second.out == 0) requests_.erase(at);
+        if (at != requests_.end() && at->second.ended && at->second.in_flight == 0) requests_.erase(at);
     }
 
     void answer(RequestId id, Request& request, Response&& response, bool own) {
         if (request.ended) return;
         request.ended = true;
         --unanswered_;
-        surroundings_.answer(request.client, std::move(response), own);
-        surroundings_.withdraw_request(id);
+        environment_.answer(request.client, std::move(response), own);
+        environment_.withdraw_request(id);
     }
 
     void answer_now(RequestId id) {
         const auto at = requests_.find(id);
         if (at == requests_.end() || at->second.ended) return;
         Request& request = at->second;
-        request.ended = true;  // no attempt that ends from here on leads to another
+        request.ended = true;  // the end of an attempt no longer leads to another one
         --unanswered_;
-        surroundings_.withdraw_request(id);
+        environment_.withdraw_request(id);
         for (std::uint32_t attempt = 0; attempt < request.attempts; ++attempt)
-            surroundings_.expire({id, attempt});
-        surroundings_.answer(request.client, surroundings_.refusal(request.story, 0), true);
+            environment_.expire({id, attempt});
+        environment_.answer(request.client, environment_.refusal(request.story, 0), true);
         push(ClientGone{id});
         drop_request(id);
     }
@@ -291,65 +295,65 @@
         if (at == requests_.end()) return;
         Request& request = at->second;
         const AttemptKey key{action.id, request.attempts++};
-        request.sent.emplace_back(surroundings_.now(), action.server);
-        ++request.out;
-        if (to != servers_.end()) ++to->second.out;
-        surroundings_.sent(action.server);
-        // Between the decision and now the request may have ended, or its server been told away.
+        request.sent.emplace_back(environment_.now(), action.server);
+        ++request.in_flight;
+        if (to != servers_.end()) ++to->second.in_flight;
+        environment_.sent(action.server);
+        // Since the decision the request may have ended, or its server been removed or drained.
         if (request.ended || to == servers_.end() || !to->second.listed || to->second.phase != Phase::on)
             return attempt_ended(key, Outcome::superseded, nullptr);
-        if (!surroundings_.may_send(request.message, request.story, to->second.name))
+        if (!environment_.may_send(request.message, request.story, to->second.name))
             return attempt_ended(key, Outcome::superseded, nullptr);
-        due_.push({action.try_until, 0, due_order_++, key, 0});
-        surroundings_.send(key, action.server, to->second.dial, request.message, action.try_until);
+        due_.push({action.try_until, 0, next_due_order_++, key, 0});
+        environment_.send(key, action.server, to->second.dial, request.message, action.try_until);
     }
 
-    void carry_out(const Cancel& action) { surroundings_.cancel({action.id, action.attempt}); }
+    void carry_out(const Cancel& action) { environment_.cancel({action.id, action.attempt}); }
 
     void carry_out(const Refuse& action) {
         const auto at = requests_.find(action.id);
         if (at == requests_.end()) return;
-        answer(action.id, at->second, surroundings_.refusal(at->second.story, action.retry_in), true);
+        answer(action.id, at->second, environment_.refusal(at->second.story, action.retry_in), true);
         drop_request(action.id);
     }
 
     void carry_out(const GiveUp& action) {
         const auto at = requests_.find(action.id);
         if (at == requests_.end()) return;
-        answer(action.id, at->second, surroundings_.failure(at->second.story), true);
+        answer(action.id, at->second, environment_.failure(at->second.story), true);
         drop_request(action.id);
     }
 
     void carry_out(const SetTimer& action) {
-        due_.push({action.at, 1, due_order_++, std::nullopt, action.token});
+        due_.push({action.at, 1, next_due_order_++, std::nullopt, action.token});
     }
 
     void carry_out(const Probe& action) {
         const auto to = servers_.find(action.server);
         if (to == servers_.end() || !to->second.listed)
             return push(ProbeEnded{action.server, Outcome::refused_connection, 0});
-        ++to->second.out;
-        surroundings_.probe(action.server, to->second.dial);
+        ++to->second.in_flight;
+        environment_.probe(action.server, to->second.dial);
     }
 
-    void carry_out(const CloseIdle& action) { surroundings_.close_idle(action.server); }
-    void carry_out(const TellPeer& action) { surroundings_.carry_out(action); }
-    void carry_out(const Subscribe& action) { surroundings_.carry_out(action); }
-    void carry_out(const FetchList& action) { surroundings_.carry_out(action); }
+    void carry_out(const CloseIdle& action) { environment_.close_idle(action.server); }
+    void carry_out(const TellPeer& action) { environment_.carry_out(action); }
+    void carry_out(const Subscribe& action) { environment_.carry_out(action); }
+    void carry_out(const FetchList& action) { environment_.carry_out(action); }
 
     void carry_out(const Log& action) {
         const auto at = action.server ? servers_.find(*action.server) : servers_.end();
-        surroundings_.log(action.text, at == servers_.end() ? std::string() : at->second.name);
+        environment_.log(action.text, at == servers_.end() ? std::string() : at->second.name);
     }
 
-    Surroundings& surroundings_;
+    Environment& environment_;
     Balancer balancer_;
     std::deque<Event> events_;
     bool pump_posted_ = false;
     std::vector<Action> actions_;
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-    std::uint64_t due_order_ = 0;
-    Millis armed_for_ = 0;
+    std::uint64_t next_due_order_ = 0;
+    Millis timer_at_ = 0;
     std::unordered_map<RequestId, Request> requests_;
     RequestId next_request_ = 1;
     std::size_t unanswered_ = 0;
--- a/src/exchange/attempt_key.hpp
+++ b/src/exchange/attempt_key.hpp
@@ -1,4 +1,4 @@
-// Names one attempt of a request: shared by those who ask for it, carry it and hear of its end.
+// Identifies one attempt of a request, between the code that requests it, sends it and handles its end.
 #pragma once
 
 #include <compare>
--- a/src/exchange/connection_pool.hpp
+++ b/src/exchange/connection_pool.hpp
@@ -1,30 +1,33 @@
-// Connections to servers and the exchanges on them: which connection is used again, which answer belongs to
-// which request, and how each attempt ended, above all whether the server may have run it. Nothing is ever
-// sent a second time here.
+// Pool of connections to servers, and the exchange (one request and its answer) on each. Decides which
+// connection is reused, which answer belongs to which request, and how each attempt ended, in particular
+// whether the server may have run it. Never sends a request a second time.
 //
-// Entry type: ConnectionPool. Free of I/O: sockets, time and messages are the Transport's. Driven over
-// sockets by net::Upstream, in virtual time by sim_mesh.
+// Entry type: ConnectionPool. Does no I/O: sockets, time and messages are provided by the Transport. Driven
+// over sockets by Upstream and in virtual time by sim_mesh. Not thread-safe.
 //
 // Invariants:
-//   - one exchange a connection at a time;
-//   - a connection on which anything but one whole answer of its own request has come is never used again:
-//     bytes behind an answer, another request's answer, a reset, an end, a time-out, a withdrawal;
-//   - an attempt whose last byte was not handed over ends as refused_connection or superseded: it never ran.
+//   - at most one exchange on a connection at a time;
+//   - a connection is reused only if exactly one complete answer to its own request has come on it; bytes
+//     after an answer, another request's answer, a reset, an end of stream, a time-out or a withdrawal rule
+//     it out;
+//   - an attempt whose last byte was not written ends as refused_connection or superseded: it has not run.
 //     Every other attempt without an answer may have run.
 //
-// What a Transport provides (Connection is ConnectionPool<Transport>::Connection):
-//   types   Endpoint (comparable), RequestPtr, Response, Channel (one connection's I/O, made by
-//   new_channel()) Channel new_channel() Millis now() void connect(const ConnectionPtr&)     answered by
-//   connected() void write(const ConnectionPtr&)       of job->request; answered by written() or
-//   write_failed() void read(const ConnectionPtr&)        the next answer; answered by answered() or broken()
-//   bool quiet(Connection&)                nothing has come unasked, nor has it ended
-//   void rest(const ConnectionPtr&)        parked: buffers may go; woke() once something comes or it ends
-//   void set_timer(const ConnectionPtr&, Millis at)    in place of the one before; answered by timer_fired()
+// A Transport provides (Connection is ConnectionPool<Transport>::Connection):
+//   types   Endpoint (comparable), RequestPtr, Response, Channel (I/O of one connection, constructed from the
+//           Transport)
+//   Millis now()
+//   void connect(const ConnectionPtr&)      then calls connected()
+//   void write(const ConnectionPtr&)        writes job->request, then calls written() or write_failed()
+//   void read(const ConnectionPtr&)         reads the next answer, then calls answered() or broken()
+//   bool quiet(Connection&)                 whether the connection is open and has no unread input
+//   void rest(const ConnectionPtr&)         calls woke() on input or end; may free the buffers
+//   void set_timer(const ConnectionPtr&, Millis at)    replaces the timer set before; calls timer_fired()
 //   void cancel_timer(Connection&)
 //   void close(Connection&)
-//   bool is_stray(const Connection&, const Response&)  the answer of another request than the one that waits
+//   bool is_stray(const Connection&, const Response&)  whether the answer belongs to another request
 //   Outcome judge(const Response&)
-//   Millis kept_for(const Response&)       how long the server says that it keeps the connection; 0: not said
+//   Millis kept_for(const Response&)        the keep-alive time that the server announces; 0: none
 //   void attempt_ended(AttemptKey, Outcome, Response*)
 //   void probe_ended(ServerId, Outcome, Millis duration)
 #pragma once
@@ -44,17 +47,17 @@
 
 struct Limits {
     Millis connect_timeout = 1000;
-    Millis idle_close = 15000;  // servers close what has been idle this long
-    std::size_t connections = 400;
-    Millis settle = 2;  // an answer's connection is not used again sooner
+    Millis idle_close = 15000;      // after this idle time servers are assumed to close a connection
+    std::size_t connections = 400;  // maximum, to all servers together
+    Millis reuse_delay = 2;         // minimum time from an answer to the next request on its connection
 };
 
 enum class ConnectionState { connecting, writing, reading, idle, closed };
 
-// What a Transport says of an answer beside the answer itself.
+// What a Transport reports together with an answer.
 struct AnswerEnd {
-    bool keep_alive = false;    // both ends may go on with the connection
-    bool bytes_behind = false;  // more has come than the answer: it belongs to nobody
+    bool keep_alive = false;    // both ends allow the connection to be reused
+    bool excess_bytes = false;  // bytes that belong to no request have followed the answer
 };
 
 template <class Transport>
@@ -73,16 +76,16 @@
     };
     struct Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
-    // The connections to one server for as long as it is listed with this address and start.
+    // The connections to one server while it is listed with the same address and start time.
     struct Group {
         std::vector<ConnectionPtr> idle;  // the newest last
-        std::size_t connections = 0;      // all of them, idle or not
-        bool withdrawn = false;           // what is still out on them ends, and they with it
+        std::size_t connections = 0;      // including those in use
+        bool retired = false;             // each connection closes once its exchange has ended
     };
     struct Connection {
         Connection(Transport& transport, ServerId id, const Endpoint& endpoint,
-                   std::shared_ptr<Group> its_group)
-            : channel(transport), server(id), to(endpoint), group(std::move(its_group)) {}
+                   std::shared_ptr<Group> server_group)
+            : channel(transport), server(id), to(endpoint), group(std::move(server_group)) {}
 
         typename Transport::Channel channel;
         ServerId server;
@@ -90,19 +93,20 @@
         std::shared_ptr<Group> group;
         ConnectionState state = ConnectionState::connecting;
         std::unique_ptr<Job> job;
-        bool spoilt = false;  // an answer of another request has come on it
-        Millis kept_for = 0;  // as the server said last; 0: it did not
+        bool stray_seen = false;  // an answer to another request has come on it
+        Millis kept_for = 0;      // keep-alive time that the server announced last; 0: none
         Millis idle_since = 0;
     };
 
     ConnectionPool(Transport& transport, Limits limits) : transport_(transport), limits_(limits) {}
     ~ConnectionPool() {
-        for (const auto& [id, group] : groups_) group->idle.clear();  // a connection holds its group
+        for (const auto& [id, group] : groups_)
+            group->idle.clear();  // breaks the cycle: a connection owns its group
     }
     ConnectionPool(const ConnectionPool&) = delete;
     ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-    // ---- What is asked of it ---------------------------------------------------------------------------
+    // ---- Commands --------------------------------------------------------------------------------------
 
     void send(AttemptKey key, ServerId server, const Endpoint& to, RequestPtr request, Millis until) {
         auto job = std::make_unique<Job>();
@@ -118,16 +122,17 @@
         job->probe = true;
         job->request = std::move(request);
         job->sent_at = transport_.now();
-        job->until = job->sent_at + limits_.connect_timeout;  // slower than this, it is not fit to be asked
+        job->until = job->sent_at + limits_.connect_timeout;  // a slower server counts as unhealthy
         start(std::move(job), server, to);
     }
 
-    // Its time is up: overdue, or no connection if not a byte has gone out.
+    // The attempt has timed out: it ends as overdue, or as refused_connection if writing has not begun.
     void expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::overdue); }
-    // Not wanted any more: recalled, or superseded if not a byte has gone out (then it never ran).
+    // The attempt is no longer wanted: it ends as recalled, or as superseded if writing has not begun (it has
+    // then not run).
     void cancel(AttemptKey key) { stop(key, Outcome::superseded, Outcome::recalled); }
 
-    // Those of a request that have not begun to be written never will be.
+    // Ends the attempts of a request that have not begun to be written.
     void withdraw_request(RequestId id) {
         std::vector<ConnectionPtr> connecting;
         for (auto at = attempts_.lower_bound({id, 0}); at != attempts_.end() && at->first.id == id; ++at)
@@ -136,8 +141,8 @@
             end(connection, Outcome::superseded, nullptr, false);
     }
 
-    // Those to a server that have not begun to be written never will be, and no connection to it is used
-    // again, now or when what is out on it has ended.
+    // Ends the attempts to a server that have not begun to be written. Its connections are not reused,
+    // neither the idle ones nor those whose exchange has yet to end.
     void withdraw_server(ServerId server) {
         std::vector<ConnectionPtr> connecting;
         for (const auto& [key, connection] : attempts_)
@@ -148,12 +153,12 @@
         retire(server);
     }
 
-    // As withdrawn, but for what is still connecting.
+    // As withdraw_server(), but attempts that are still connecting go on.
     void retire(ServerId server) {
         close_idle(server);
         const auto at = groups_.find(server);
         if (at == groups_.end()) return;
-        at->second->withdrawn = true;
+        at->second->retired = true;
         groups_.erase(at);
     }
 
@@ -166,38 +171,38 @@
 
     void limit_connections(std::size_t most) { limits_.connections = most; }
 
-    // ---- What the Transport tells ----------------------------------------------------------------------
+    // ---- Calls by the Transport ------------------------------------------------------------------------
 
-    void connected(const ConnectionPtr& connection, bool well) {
+    void connected(const ConnectionPtr& connection, bool succeeded) {
         if (connection->state != ConnectionState::connecting) return;
-        if (!well) return end(connection, Outcome::refused_connection, nullptr, false);
+        if (!succeeded) return end(connection, Outcome::refused_connection, nullptr, false);
         if (!connection->job->probe) transport_.cancel_timer(*connection);
         write(connection);
     }
 
-    // The last byte is handed over.
+    // The last byte of the request has been written.
     void written(const ConnectionPtr& connection) { read(connection); }
 
-    // A server begins a request with its last byte: short of that, it never ran.
+    // A server starts a request only once it has the last byte, so this one has not run.
     void write_failed(const ConnectionPtr& connection) {
         end(connection, Outcome::refused_connection, nullptr, false);
     }
 
     void answered(const ConnectionPtr& connection, Response&& response, AnswerEnd how) {
         if (!connection->job->probe && transport_.is_stray(*connection, response)) {
-            if (std::exchange(connection->spoilt, true) || !how.keep_alive) return broken(connection);
+            if (std::exchange(connection->stray_seen, true) || !how.keep_alive) return broken(connection);
             return read(connection);
         }
         const bool keep =
-            how.keep_alive && !how.bytes_behind && !connection->group->withdrawn && !connection->spoilt;
+            how.keep_alive && !how.excess_bytes && !connection->group->retired && !connection->stray_seen;
         connection->kept_for = transport_.kept_for(response);
         end(connection, transport_.judge(response), &response, keep);
     }
 
-    // Its end, a reset, or bytes that are no answer, after the request was written whole.
+    // End of stream, a reset, or an invalid answer after the whole request was written.
     void broken(const ConnectionPtr& connection) { end(connection, Outcome::severed, nullptr, false); }
 
-    // An idle connection that has something to say, or has ended, is of no more use.
+    // An idle connection that has received input or has ended must not be reused.
     void woke(const ConnectionPtr& connection) {
         if (connection->state == ConnectionState::idle && !transport_.quiet(*connection)) drop(connection);
     }
@@ -210,25 +215,26 @@
         if (connection->job->probe) end(connection, Outcome::overdue, nullptr, false);
     }
 
-    // ---- What it holds ---------------------------------------------------------------------------------
+    // ---- State -----------------------------------------------------------------------------------------
 
-    std::uint64_t opened() const { return opened_; }  // connections begun since the start
+    std::uint64_t opened() const { return opened_; }  // connections opened since construction
     std::size_t open() const { return open_; }
     std::size_t out() const { return attempts_.size(); }
     std::size_t groups() const { return groups_.size(); }
 
 private:
     void start(std::unique_ptr<Job> job, ServerId server, const Endpoint& to) {
-        ConnectionPtr connection = take_idle(server, to);
-        const bool fresh = !connection;
-        if (fresh) connection = add(server, to);
+        ConnectionPtr connection = acquire_idle(server, to);
+        const bool is_new = !connection;
+        if (is_new) connection = add(server, to);
         if (!job->probe)
             attempts_[job->key] = connection;
         else
             transport_.set_timer(connection, job->until);
         connection->job = std::move(job);
-        if (!fresh) return write(connection);
-        // No descriptor to spare: it never goes out. That is no fault of the server's.
+        if (!is_new) return write(connection);
+        // The connection limit is reached, so the attempt is not sent; `superseded` does not count against
+        // the server.
         if (open_ > limits_.connections) return end(connection, Outcome::superseded, nullptr, false);
         if (!connection->job->probe)
             transport_.set_timer(connection, transport_.now() + limits_.connect_timeout);
@@ -236,7 +242,7 @@
     }
 
     ConnectionPtr add(ServerId server, const Endpoint& to) {
-        if (open_ >= limits_.connections) make_room();
+        if (open_ >= limits_.connections) evict_oldest_idle();
         auto& group = groups_[server];
         if (!group) group = std::make_shared<Group>();
         ++group->connections;
@@ -245,8 +251,8 @@
         return std::make_shared<Connection>(transport_, server, to, group);
     }
 
-    // Of those that nobody uses the one idle longest.
-    void make_room() {
+    // Closes the connection that has been idle longest, to any server.
+    void evict_oldest_idle() {
         ConnectionPtr oldest;
         for (const auto& [id, group] : groups_)
             if (!group->idle.empty() && (!oldest || group->idle.front()->idle_since < oldest->idle_since))
@@ -254,15 +260,15 @@
         if (oldest) drop(oldest);
     }
 
-    // The newest first: the older ones then reach their idle limit and go. What has ended in the meantime, or
-    // has something to say unasked, is not fit to be written to, and nothing may be sent twice to find that
-    // out. One that has only just answered may have more to say, which would be taken for the next request's
-    // answer.
-    ConnectionPtr take_idle(ServerId server, const Endpoint& to) {
+    // Newest first, so that surplus connections reach their idle time-out. A connection that has ended or has
+    // received unsolicited input is dropped before anything is written to it, as a request can't be sent
+    // again if it fails there. One that has only just answered may still receive excess bytes, which would be
+    // taken for the next request's answer: it is skipped until reuse_delay has passed.
+    ConnectionPtr acquire_idle(ServerId server, const Endpoint& to) {
         const auto at = groups_.find(server);
         if (at == groups_.end()) return nullptr;
-        const auto group = at->second;  // it may go with its last connection
-        const Millis settled = transport_.now() - limits_.settle;
+        const auto group = at->second;  // drop() may erase it from groups_
+        const Millis settled = transport_.now() - limits_.reuse_delay;
         for (std::size_t i = group->idle.size(); i-- > 0;) {
             ConnectionPtr connection = group->idle[i];
             if (connection->to != to || !transport_.quiet(*connection)) {
@@ -291,7 +297,7 @@
         connection->state = ConnectionState::idle;
         connection->idle_since = transport_.now();
         connection->group->idle.push_back(connection);
-        // Well before the server does: what is written to a connection that it has closed is lost.
+        // Closes it well before the server does: a request written to a closed connection would be lost.
         const Millis closes = connection->kept_for > 0 ? std::min(limits_.idle_close, connection->kept_for)
                                                        : limits_.idle_close;
         transport_.set_timer(connection, connection->idle_since + closes - std::min(1000.0, closes / 4));
@@ -313,7 +319,7 @@
     void end(const ConnectionPtr& connection, Outcome outcome, Response* response, bool keep) {
         const std::unique_ptr<Job> job = std::move(connection->job);
         transport_.cancel_timer(*connection);
-        // The connection goes before anything is told, so that no next attempt can be out beside it.
+        // Release the connection before reporting the end, so that no next attempt is in flight beside it.
         if (keep)
             park(connection);
         else
@@ -335,7 +341,7 @@
     Transport& transport_;
     Limits limits_;
     std::map<AttemptKey, ConnectionPtr> attempts_;
-    std::unordered_map<ServerId, std::shared_ptr<Group>> groups_;  // only those with connections
+    std::unordered_map<ServerId, std::shared_ptr<Group>> groups_;  // only groups with connections
     std::size_t open_ = 0;
     std::uint64_t opened_ = 0;
 };
--- a/src/hop/attempt_rules.hpp
+++ b/src/hop/attempt_rules.hpp
@@ -1,11 +1,12 @@
-// What the caller's side of a hop may do with a request: whether an attempt may go out, how its end reads,
-// what may be said to the client. One AttemptRules for each service. Free of I/O; called by
-// proxy::MeshDialect over sockets and by sim_mesh in virtual time.
+// Rules for requests on the caller side of a hop: whether an attempt may be sent, how its end is interpreted,
+// and what the client may be told. Entry type: AttemptRules, one for each service. Does no I/O; called by
+// proxy::MeshDialect over sockets and by sim_mesh in virtual time. Not thread-safe.
 //
 // Invariants:
-//   - what may run once only and may have run is not sent again;
-//   - no request goes to more servers than its route's `tries`, nor over the budget that all proxies share;
-//   - a refusal is said only with proof that the request never ran.
+//   - a once-only request that may have run is not sent again;
+//   - no request reaches more servers than the `tries` of its route, and retries stay within the budget that
+//     all proxies share;
+//   - a request is refused only with proof that it never ran.
 #pragma once
 
 #include <optional>
@@ -19,17 +20,17 @@
 
 namespace cobaltshift::hop {
 
-// Of one request.
+// State of one request across its attempts.
 struct RequestHistory {
     Hop hop;
-    unsigned sent = 0;     // attempts, those that were not begun too
-    unsigned offered = 0;  // attempts that may have run, or were turned away by a server itself
+    unsigned sent = 0;              // all attempts, including those that no server received
+    unsigned counted_attempts = 0;  // attempts that may have run or that a server itself refused
     bool may_have_run = false;
-    std::string server;                 // the newest's
+    std::string server;                 // instance id of the newest attempt's server
     Reason reason = Reason::no_server;  // of the newest failure
 };
 
-// How one attempt ended: without an answer, with another proxy's word, or with the server's answer.
+// How an attempt ended: NoAnswer, a Failure that the other proxy reported, or ServerAnswered.
 struct NoAnswer {
     Outcome outcome;
 };
@@ -38,27 +39,33 @@
 };
 using AttemptEnd = std::variant<NoAnswer, Failure, ServerAnswered>;
 
+// How an attempt's end is interpreted.
 struct AttemptReading {
     caller::Reading reading;
-    bool keep_answer = false;   // the server's own failure: what the client gets if no other does better
-    bool avoid_server = false;  // its admission takes nothing for now, or is another's
+    bool keep_answer = false;   // a server error: the client gets it if no later attempt succeeds
+    bool avoid_server = false;  // its admission refuses all requests for now, or is another instance's
 };
 
 class AttemptRules {
 public:
     explicit AttemptRules(admission::RetryBudget::Settings budget) : retry_budget_(budget) {}
 
-    // A request has come; its history holds the hop and nothing else.
+    // Called once when a request arrives. `history` holds the hop and is otherwise empty.
     RequestArrived classify(Millis now, const RequestHistory& history);
-    // Just before an attempt goes out to `server`; notes it, and what the hop says of it.
+    // Called before an attempt is sent to `server`. Returns false if it must not be sent; otherwise records
+    // the attempt in `history` and sets the hop's may_wait.
     bool may_send(Millis now, std::size_t live_proxies, const std::string& server, RequestHistory& history);
+    // Interprets the end of an attempt and records it in `history`.
     AttemptReading read(const AttemptEnd& end, RequestHistory& history);
+    // Proof that the request has not run; none if it may have.
     static std::optional<NotRun> proof(const RequestHistory& history);
-    // When a client that is refused should come back.
+    // Bounds the advice to a refused client when to retry, in ms.
     static Millis retry_in(Millis advised);
-    // Of a failure that promises nothing.
+    // The HTTP status for a request that failed and may have run.
     static unsigned failure_status(Reason reason);
 
+    // `bounced`: attempts that an admission refused or that found no connection; `vetoed`: attempts that
+    // may_send() forbade; `broken`: attempts that may have run and got no valid answer.
     struct Counts {
         std::uint64_t requests = 0, tries = 0, bounced = 0, vetoed = 0, broken = 0, refused = 0, failed = 0;
     };
@@ -68,9 +75,9 @@
 
 private:
     AttemptReading ran(RequestHistory& history, Outcome outcome, bool final);
-    AttemptReading read_end(const NoAnswer& end, RequestHistory& history);
-    AttemptReading read_end(const Failure& failure, RequestHistory& history);
-    AttemptReading read_end(const ServerAnswered& answer, RequestHistory& history);
+    AttemptReading interpret(const NoAnswer& end, RequestHistory& history);
+    AttemptReading interpret(const Failure& failure, RequestHistory& history);
+    AttemptReading interpret(const ServerAnswered& answer, RequestHistory& history);
 
     admission::RetryBudget retry_budget_;
     Counts counts_;
--- a/src/hop/server_answer.cpp
+++ b/src/hop/server_answer.cpp
@@ -15,7 +15,8 @@
     if (head.not_run || head.status == kMisdirected) return Failure{Execution::not_run, Reason::turned_away};
     if (is_success(head.status) && (!head.stamped || head.encoded))
         return Failure{Execution::may_have_run, Reason::broken};
-    // Of these the server says by Not-Run that they hold; without it they would promise too much.
+    // The server confirms these statuses by Not-Run; without it they do not prove that the request has not
+    // run.
     if (promises_not_run(head.status)) return Failure{Execution::may_have_run, Reason::broken};
     return {};
 }
--- a/src/hop/server_answer.hpp
+++ b/src/hop/server_answer.hpp
@@ -1,5 +1,5 @@
-// What an application server's answer, or the lack of one, proves about the request that it was asked with.
-// Called by the proxy beside the server (proxy::Inbound, sim_mesh); free of I/O.
+// What an application server's answer, or the lack of one, proves about whether the request has run. Called
+// on the server side of a hop (proxy::Inbound, sim_mesh). Pure functions.
 #pragma once
 
 #include <optional>
@@ -12,20 +12,22 @@
 
 struct ServerAnswerHead {
     unsigned status = 0;
-    bool not_run = false;  // it bears Not-Run
-    bool stamped = false;  // it bears the server's Postmark
-    bool encoded = false;  // it bears a Content-Encoding: not the server's own bytes
+    bool not_run = false;  // it has the field Not-Run
+    bool stamped = false;  // it has a Postmark, the server's stamp
+    bool encoded = false;  // it has a Content-Encoding, so the body is not the server's own bytes
 };
 
-// None: it is the server's and may be passed on as it is. Only Not-Run and 421 prove that nothing ran; a
-// success must bear the stamp; statuses that promise something need the proof.
+// Returns none if the answer may be passed on unchanged. Only Not-Run and status 421 prove that the request
+// did not run. A success without a stamp, and a status that promises that the request has not run (408, 429,
+// 503) without Not-Run, count as a broken answer.
 std::optional<Failure> failure_of_answer(const ServerAnswerHead& head);
 
-// Of an attempt at the server that ended without an answer.
+// The failure of an attempt that ended without an answer.
 Failure failure_without_answer(Outcome outcome);
 
-// Whether an answer belongs to another request than `asked`: a late second answer on a kept connection. A
-// success without an id is nobody's; a refusal without one is taken for this request's.
+// Whether an answer belongs to another request than the one with the id `asked`, such as a late second answer
+// on a keep-alive connection. A success without an id belongs to no request; any other answer without an id
+// is taken for this request's.
 bool answers_another(std::string_view asked, std::string_view answered, unsigned status);
 
 }  // namespace cobaltshift::hop
--- a/src/proxy/hop.cpp
+++ b/src/proxy/hop_headers.cpp
@@ -1,4 +1,4 @@
-#include "proxy/hop.hpp"
+#include "proxy/hop_headers.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -19,7 +19,7 @@
            (hop.may_wait ? '1' : '0') + ';' + std::to_string(hop.edition);
 }
 
-std::optional<Hop> read_hop(beast::string_view text) {
+std::optional<Hop> parse_hop(beast::string_view text) {
     if (text.size() < 2 || text[1] != ';') return {};
     Hop hop;
     if (text[0] == 'p')
@@ -45,7 +45,7 @@
     return hop;
 }
 
-leaf::result<HttpResponse> server_answer(HttpResponse response) {
+leaf::result<HttpResponse> validate_server_answer(HttpResponse response) {
     hop::ServerAnswerHead head;
     head.status = response.result_int();
     head.not_run = response.count(kNotRun) > 0;
@@ -57,7 +57,7 @@
     return response;
 }
 
-HttpResponse own_answer(const Failure& failure) {
+HttpResponse proxy_answer(const Failure& failure) {
     const bool not_run = failure.execution == Execution::not_run;
     HttpResponse response(not_run                            ? http::status::service_unavailable
                           : failure.reason == Reason::silent ? http::status::gateway_timeout
@@ -68,11 +68,11 @@
     return response;
 }
 
-std::optional<Failure> read_failure(const HttpResponse& response) {
+std::optional<Failure> parse_verdict(const HttpResponse& response) {
     const auto field = response[kVerdict];
     if (field == "ran") return {};
     if (field.empty()) {
-        // By the other proxy's listener, before it was read: it never began.
+        // The other proxy's listener answered before it had read the request, so it did not run.
         const unsigned status = response.result_int();
         if (status == 503 || status == 408) return Failure{Execution::not_run, Reason::full};
         return {};
@@ -80,7 +80,7 @@
     const std::string_view text(field.data(), field.size());
     const auto space = text.find(' ');
     const auto reason = reason_named(space == std::string_view::npos ? "" : text.substr(space + 1));
-    // What is not understood may have run.
+    // An unknown verdict or reason counts as may-have-run.
     if (text.substr(0, space) != "not-run" || !reason)
         return Failure{Execution::may_have_run, reason.value_or(Reason::broken)};
     return Failure{Execution::not_run, *reason};
@@ -102,7 +102,7 @@
     return HttpResponse(static_cast<http::status>(hop::AttemptRules::failure_status(reason)), 11);
 }
 
-std::optional<double> read_ms(beast::string_view text) {
+std::optional<double> parse_ms(beast::string_view text) {
     double value = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
     if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) return {};
--- a/src/proxy/inbound.cpp
+++ b/src/proxy/inbound.cpp
@@ -8,44 +8,46 @@
 namespace cobaltshift::proxy {
 
 namespace {
-constexpr Millis kConnectWithin = 1000, kIdleClose = 9000, kHeadTime = 5000, kReadTime = 30000,
-                 kIdleTime = 30000, kSettle = 0.5, kLongest = 600000;
-// Taken off the time that the server is handed: it answers before its caller gives up.
-constexpr Millis kAnswerMargin = 40;
-constexpr std::size_t kConnections = 64;
-// An answer is urgent on the link once it is half a target late, or its caller gives up in so long.
+constexpr Millis kConnectTimeoutMs = 1000, kIdleCloseMs = 9000, kHeadTimeoutMs = 5000, kReadTimeoutMs = 30000,
+                 kIdleTimeoutMs = 30000, kReuseDelayMs = 0.5, kMaxDeadlineMs = 600000;
+// Subtracted from the deadline that the server is given, so that it answers before its caller gives up.
+constexpr Millis kAnswerMarginMs = 40;
+constexpr std::size_t kMaxConnections = 64;
+// An answer becomes urgent on the link once its request is 1.5 target latencies old, or when its caller gives
+// up within kUrgentBeforeDeadlineMs.
 constexpr double kUrgentAfterTargets = 1.5;
-constexpr Millis kUrgentBeforeDeadline = 1000;
-constexpr std::uint64_t kMostBody = 64 << 20;
+constexpr Millis kUrgentBeforeDeadlineMs = 1000;
+constexpr std::uint64_t kMaxBodyBytes = 64 << 20;
 
-Millis urgent_at(Millis came, const Hop& hop, Millis deadline) {
-    return std::min(came + kUrgentAfterTargets * hop.target_ms, deadline - kUrgentBeforeDeadline);
+Millis urgent_at(Millis arrived_at, const Hop& hop, Millis deadline) {
+    return std::min(arrived_at + kUrgentAfterTargets * hop.target_ms, deadline - kUrgentBeforeDeadlineMs);
 }
 
 UpstreamManner manner() {
     UpstreamManner m;
     m.stamp = [](HttpRequest& message, Millis left) {
-        message.set(kDeadline, std::to_string(static_cast<long long>(std::max(1.0, left - kAnswerMargin))));
+        message.set(kDeadline, std::to_string(static_cast<long long>(std::max(1.0, left - kAnswerMarginMs))));
     };
     m.judge = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
     m.stray = answers_another;
-    m.body_bytes = kMostBody;
+    m.body_bytes = kMaxBodyBytes;
     m.heeds_keep_alive = true;
     return m;
 }
 }  // namespace
 
-Inbound::Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+Inbound::Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Callbacks callbacks,
                  const PacedLink* link)
     : io_(io),
       clock_(clock),
       boot_(boot),
-      around_(std::move(around)),
+      callbacks_(std::move(callbacks)),
       requests_(*this),
       link_(link),
-      upstream_(io, clock, Upstream::Limits{{kConnectWithin, kIdleClose, kConnections, kSettle}, 0},
+      upstream_(io, clock,
+                Upstream::Limits{{kConnectTimeoutMs, kIdleCloseMs, kMaxConnections, kReuseDelayMs}, 0},
                 {[this](AttemptKey key, Outcome outcome, HttpResponse* response) {
                      ended(key.id, outcome, response);
                  },
@@ -53,41 +55,42 @@
                 manner()),
       timer_(io) {}
 
-bool Inbound::beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq) {
-    if (life != admission().life()) upstream_.retire(0);
-    return requests_.beat(clock_.now(), life, capacity, closing, call_seq);
+bool Inbound::beat(const std::string& instance_id, std::uint32_t capacity, bool closing,
+                   std::uint64_t call_seq) {
+    if (instance_id != admission().life()) upstream_.retire(0);
+    return requests_.beat(clock_.now(), instance_id, capacity, closing, call_seq);
 }
 
-void Inbound::gone(const std::string& life) { requests_.gone(clock_.now(), life); }
+void Inbound::gone(const std::string& instance_id) { requests_.gone(clock_.now(), instance_id); }
 
 void Inbound::leave() { requests_.leave(clock_.now()); }
 
-void Inbound::ask_health(const std::string& path, std::uint32_t capacity,
-                         const std::function<void(const std::string&)>& well) {
-    struct Asking {
-        explicit Asking(asio::io_context& io) : stream(io) {}
+void Inbound::check_health(const std::string& path, std::uint32_t capacity,
+                           const std::function<void(const std::string&)>& on_healthy) {
+    struct HealthCheck {
+        explicit HealthCheck(asio::io_context& io) : stream(io) {}
         beast::tcp_stream stream;
         http::request<http::empty_body> request;
         beast::flat_buffer in;
         http::response<http::string_body> response;
     };
-    auto asking = std::make_shared<Asking>(io_);
-    asking->request.method(http::verb::get);
-    asking->request.target(path);
-    asking->request.set(http::field::host, boot_.ip);
-    asking->request.set(http::field::connection, "close");
-    asking->stream.expires_after(std::chrono::seconds(1));
-    asking->stream.async_connect(*boot_.app_address, [=, this](error_code ec) {
+    auto check = std::make_shared<HealthCheck>(io_);
+    check->request.method(http::verb::get);
+    check->request.target(path);
+    check->request.set(http::field::host, boot_.ip);
+    check->request.set(http::field::connection, "close");
+    check->stream.expires_after(std::chrono::seconds(1));
+    check->stream.async_connect(*boot_.app_address, [=, this](error_code ec) {
         if (ec) return;
-        http::async_write(asking->stream, asking->request, [=, this](error_code ec, std::size_t) {
+        http::async_write(check->stream, check->request, [=, this](error_code ec, std::size_t) {
             if (ec) return;
-            http::async_read(asking->stream, asking->in, asking->response,
+            http::async_read(check->stream, check->in, check->response,
                              [=, this](error_code ec, std::size_t) {
-                                 if (ec || asking->response.result_int() != 200) return;
-                                 const std::string life(asking->response["Instance"]);
-                                 if (life.empty() || !admission().life().empty()) return;
-                                 requests_.seen_well(clock_.now(), life, capacity);
-                                 well(life);
+                                 if (ec || check->response.result_int() != 200) return;
+                                 const std::string instance_id(check->response["Instance"]);
+                                 if (instance_id.empty() || !admission().life().empty()) return;
+                                 requests_.seen_well(clock_.now(), instance_id, capacity);
+                                 on_healthy(instance_id);
                              });
         });
     });
@@ -95,17 +98,17 @@
 
 Front::Bounds Inbound::bounds() const {
     Bounds b;
-    b.header = (1 << 20) + kMaxHeader;  // the most that a configuration lets clients send, and our own fields
-    b.body = kMostBody;
-    b.head_time = kHeadTime, b.read_time = kReadTime, b.idle_time = kIdleTime;
+    b.header = (1 << 20) + kMaxHeader;  // the most that Outbound accepts, and the fields that proxies add
+    b.body = kMaxBodyBytes;
+    b.head_time = kHeadTimeoutMs, b.read_time = kReadTimeoutMs, b.idle_time = kIdleTimeoutMs;
     return b;
 }
 
 std::optional<http::status> Inbound::fault(const HttpRequest& head) {
     if (const auto fault = framing_fault(head)) return fault;
-    // From a proxy alone: whoever else calls here has no say in what the server runs.
-    if (head.count(kHop) != 1 || !read_hop(head[kHop]) || head.count(kInstance) != 1 ||
-        head.count(kRequestId) != 1 || head.count(kCaller) != 1 || !read_ms(head[kDeadline]))
+    // Only proxies may send requests to the server: anything without a proxy's fields is rejected.
+    if (head.count(kHop) != 1 || !parse_hop(head[kHop]) || head.count(kInstance) != 1 ||
+        head.count(kRequestId) != 1 || head.count(kCaller) != 1 || !parse_ms(head[kDeadline]))
         return http::status::bad_request;
     return {};
 }
@@ -113,8 +116,8 @@
 RequestId Inbound::arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) {
     const Millis now = clock_.now();
     const admission::Ticket ticket = requests_.next_ticket();
-    const Hop hop = *read_hop((*request)[kHop]);
-    if (hop.edition > around_.edition()) around_.newer(hop.edition);
+    const Hop hop = *parse_hop((*request)[kHop]);
+    if (hop.edition > callbacks_.edition()) callbacks_.on_newer_edition(hop.edition);
     admission::Arrival arrival;
     arrival.id = std::string((*request)[kRequestId]);
     arrival.life = std::string((*request)[kInstance]);
@@ -123,7 +126,7 @@
     arrival.rank = hop.rank;
     arrival.kind = {static_cast<int>(hop.kind), hop.rank, static_cast<long>(hop.target_ms)};
     arrival.target = hop.target_ms;
-    arrival.deadline = now - spent + std::min(kLongest, *read_ms((*request)[kDeadline]));
+    arrival.deadline = now - spent + std::min(kMaxDeadlineMs, *parse_ms((*request)[kDeadline]));
     request->erase(kHop);
     strip_hop_by_hop(*request);
     request->prepare_payload();
@@ -142,7 +145,7 @@
 }
 
 void Inbound::refuse(admission::Ticket ticket, Reason reason) {
-    answer(ticket, own_answer({Execution::not_run, reason}));
+    answer(ticket, proxy_answer({Execution::not_run, reason}));
 }
 
 void Inbound::ended(admission::Ticket ticket, Outcome outcome, HttpResponse* response) {
@@ -152,19 +155,19 @@
     if (response) {
         end.answer_bytes = response->body().size();
         said = leaf::try_handle_all(
-            [&]() -> leaf::result<HttpResponse> { return server_answer(std::move(*response)); },
+            [&]() -> leaf::result<HttpResponse> { return validate_server_answer(std::move(*response)); },
             [&](const Failure& failure) {
                 end.failure = failure;
-                return own_answer(failure);
+                return proxy_answer(failure);
             },
             [&] {
                 end.failure = Failure{};
-                return own_answer(Failure{});
+                return proxy_answer(Failure{});
             });
         strip_hop_by_hop(said);
     } else {
         end.failure = hop::failure_without_answer(outcome);
-        said = own_answer(*end.failure);
+        said = proxy_answer(*end.failure);
     }
     requests_.ended(clock_.now(), ticket, end);
     answer(ticket, std::move(said));
@@ -177,7 +180,7 @@
     const Millis urgent_at = at->second.urgent_at;
     held_.erase(at);
     if (!client) return;
-    if (around_.edition() > 0) response.set(kEdition, std::to_string(around_.edition()));
+    if (callbacks_.edition() > 0) response.set(kEdition, std::to_string(callbacks_.edition()));
     client->answer_urgent_at(std::move(response), urgent_at);
 }
 
--- a/src/proxy/inbound.hpp
+++ b/src/proxy/inbound.hpp
@@ -1,6 +1,7 @@
-// The server's side of a proxy over sockets: takes requests from other proxies, passes those that
-// admission::InboundRequests lets begin to the application server over few kept connections, and says truly
-// what came of it. Entry type: Inbound, a Listener's Front. Made by Proxy.
+// Server side of a proxy over sockets: accepts requests from other proxies, passes those that
+// admission::InboundRequests starts to the application server over a small pool of keep-alive connections,
+// and reports whether they have run. Entry type: Inbound, a Listener's Front. Created by Proxy; used by the
+// io_context's thread only.
 #pragma once
 
 #include <functional>
@@ -14,26 +15,28 @@
 #include "net/front.hpp"
 #include "net/paced_link.hpp"
 #include "net/upstream.hpp"
-#include "proxy/hop.hpp"
+#include "proxy/hop_headers.hpp"
 
 namespace cobaltshift::proxy {
 
 class Inbound : public Front, private admission::Executor {
 public:
-    struct Around {
+    struct Callbacks {
         std::function<std::uint64_t()> edition;
-        std::function<void(std::uint64_t edition)> newer;  // a caller holds a newer one
+        std::function<void(std::uint64_t edition)> on_newer_edition;  // a caller has a newer configuration
     };
-    // `link`: of this machine, over which answers leave; none: its rate is not known.
-    Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+    // `link`: the machine's network link, over which answers leave; null if its rate is unknown.
+    Inbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Callbacks callbacks,
             const PacedLink* link = nullptr);
 
-    // The server's own word (from its beats); see Admission.
-    bool beat(const std::string& life, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
-    void gone(const std::string& life);
-    // Asks the server's health once, for its life, where no beat has come in this life of ours.
-    void ask_health(const std::string& path, std::uint32_t capacity,
-                    const std::function<void(const std::string& life)>& well);
+    // The server's heartbeats and deregistration; see Admission.
+    bool beat(const std::string& instance_id, std::uint32_t capacity, bool closing, std::uint64_t call_seq);
+    void gone(const std::string& instance_id);
+    // Sends one health check to the server to learn its instance id, for use when the proxy has restarted and
+    // has not received a heartbeat. `on_healthy` is called if the server is healthy and its instance was
+    // still unknown.
+    void check_health(const std::string& path, std::uint32_t capacity,
+                      const std::function<void(const std::string& instance_id)>& on_healthy);
     void leave();
     const admission::Admission& admission() const { return requests_.admission(); }
     bool busy() const { return requests_.busy(); }
@@ -49,11 +52,11 @@
     void client_gone(RequestId id) override;
 
 private:
-    // What the core does not need to know of a request.
+    // The part of a request that InboundRequests does not need.
     struct Held {
         RequestPtr message;
         std::weak_ptr<Client> client;
-        Millis urgent_at = 0;  // from when on its answer goes before others on the link
+        Millis urgent_at = 0;  // when its answer gets priority on the link
     };
     void begin(admission::Ticket ticket, Millis until) override;
     void refuse(admission::Ticket ticket, Reason reason) override;
@@ -69,7 +72,7 @@
     asio::io_context& io_;
     const Clock& clock_;
     const boot::Boot& boot_;
-    Around around_;
+    Callbacks callbacks_;
     admission::InboundRequests requests_;
     const PacedLink* const link_;
     Upstream upstream_;
--- a/src/proxy/mesh_dialect.cpp
+++ b/src/proxy/mesh_dialect.cpp
@@ -5,13 +5,13 @@
 using hop::RequestHistory;
 
 namespace {
-constexpr std::uint64_t kMostAnswer = 64 << 20;
+constexpr std::uint64_t kMaxAnswerBytes = 64 << 20;
 
 RequestHistory& history_of(Story& story) { return std::any_cast<RequestHistory&>(story.mark); }
 
-hop::AttemptEnd end_of(Outcome outcome, const HttpResponse* response) {
+hop::AttemptEnd attempt_end(Outcome outcome, const HttpResponse* response) {
     if (!response) return hop::NoAnswer{outcome};
-    if (const auto failure = read_failure(*response)) return *failure;
+    if (const auto failure = parse_verdict(*response)) return *failure;
     return hop::ServerAnswered{response->result_int()};
 }
 }  // namespace
@@ -24,27 +24,28 @@
     m.judge = [](const HttpResponse& response) {
         return response.result_int() / 100 == 2 ? Outcome::completed : Outcome::errored;
     };
-    // Once more, at the caller: whatever went wrong at the proxy beside the server, its answer goes to no
-    // other.
+    // Checked again on the caller side: even if the proxy beside the server mixes up answers, none reaches
+    // another request.
     m.stray = [](const HttpRequest& request, const HttpResponse& response) {
         return response[kVerdict] == "ran" && answers_another(request, response);
     };
-    m.body_bytes = kMostAnswer;
+    m.body_bytes = kMaxAnswerBytes;
     return m;
 }
 
 RequestArrived MeshDialect::classify(const HttpRequest& message, Story& story) {
     RequestHistory history;
-    history.hop = read_hop(message[kHop]).value_or(Hop());
-    const RequestArrived event = rules_.classify(around_.clock.now(), history);
+    history.hop = parse_hop(message[kHop]).value_or(Hop());
+    const RequestArrived event = rules_.classify(dependencies_.clock.now(), history);
     story.mark = std::move(history);
     return event;
 }
 
 bool MeshDialect::may_send(HttpRequest& message, Story& story, const std::string& server) {
     RequestHistory& history = history_of(story);
-    if (!rules_.may_send(around_.clock.now(), around_.live_proxies(), server, history)) return false;
-    history.hop.edition = around_.edition();
+    if (!rules_.may_send(dependencies_.clock.now(), dependencies_.live_proxies(), server, history))
+        return false;
+    history.hop.edition = dependencies_.edition();
     message.set(kHop, to_text(history.hop));
     message.set(kInstance, server);
     return true;
@@ -54,11 +55,12 @@
     RequestHistory& history = history_of(story);
     if (response)
         if (const auto edition = (*response)[kEdition]; !edition.empty())
-            around_.newer(history.server, static_cast<std::uint64_t>(read_ms(edition).value_or(0)));
-    const hop::AttemptReading said = rules_.read(end_of(outcome, response), history);
-    if (said.avoid_server) around_.avoid(history.server);
-    if (said.keep_answer) story.last = *response;
-    return said.reading;
+            dependencies_.on_peer_edition(history.server,
+                                          static_cast<std::uint64_t>(parse_ms(edition).value_or(0)));
+    const hop::AttemptReading result = rules_.read(attempt_end(outcome, response), history);
+    if (result.avoid_server) dependencies_.avoid(history.server);
+    if (result.keep_answer) story.last = *response;
+    return result.reading;
 }
 
 void MeshDialect::tidy(HttpResponse& response) {
--- a/src/proxy/mesh_dialect.hpp
+++ b/src/proxy/mesh_dialect.hpp
@@ -1,6 +1,6 @@
-// The mesh's words for what a Sidecar does on the caller's side of a hop: one for each service. What may be
-// sent and said is hop::AttemptRules'; here it is read from messages and written into them. Entry type:
-// MeshDialect. Called by Sidecar; made by Outbound.
+// The mesh's protocol on the caller side of a hop: translates between HTTP messages and hop::AttemptRules,
+// which decide what may be sent and answered. Entry type: MeshDialect, one for each service. Created by
+// Outbound, called by Sidecar; used by the io_context's thread only.
 #pragma once
 
 #include <functional>
@@ -8,23 +8,23 @@
 #include "hop/attempt_rules.hpp"
 #include "net/clock.hpp"
 #include "net/dialect.hpp"
-#include "proxy/hop.hpp"
+#include "proxy/hop_headers.hpp"
 
 namespace cobaltshift::proxy {
 
 class MeshDialect : public Dialect {
 public:
-    struct Around {
+    struct Dependencies {
         const Clock& clock;
         std::function<std::size_t()> live_proxies;
         std::function<std::uint64_t()> edition;
-        // Said by the admission of that life: it takes nothing for now, or is another's.
-        std::function<void(const std::string& life)> avoid;
-        // An answer came from there that says a newer edition is held.
-        std::function<void(const std::string& life, std::uint64_t edition)> newer;
+        // The admission of this instance refuses all requests for now, or is another instance's.
+        std::function<void(const std::string& instance_id)> avoid;
+        // The proxy beside this instance has reported the configuration edition that it has.
+        std::function<void(const std::string& instance_id, std::uint64_t edition)> on_peer_edition;
     };
-    MeshDialect(Around around, admission::RetryBudget::Settings budget)
-        : around_(std::move(around)), rules_(budget) {}
+    MeshDialect(Dependencies dependencies, admission::RetryBudget::Settings budget)
+        : dependencies_(std::move(dependencies)), rules_(budget) {}
 
     UpstreamManner manner() override;
     RequestArrived classify(const HttpRequest& message, Story& story) override;
@@ -37,7 +37,7 @@
     const hop::AttemptRules::Counts& counts() const { return rules_.counts(); }
 
 private:
-    Around around_;
+    Dependencies dependencies_;
     hop::AttemptRules rules_;
 };
 
--- a/src/proxy/outbound.cpp
+++ b/src/proxy/outbound.cpp
@@ -14,17 +14,17 @@
 using config::Route;
 
 namespace {
-constexpr Millis kConnectWithin = 400, kIdleClose = 9000, kDeadAfter = 2500;
-constexpr double kConnectionShare = 0.25;  // of the descriptors, to other proxies, for all services
-constexpr std::size_t kLeastConnections = 32, kLeastServices = 4;
-constexpr Millis kBodyTime = 30000;
-constexpr std::size_t kMostBody = 64 << 20;
-constexpr int kIdBits = 48;  // of a request's number; above it its pool's
-constexpr std::uint32_t kProxies = 15;
-constexpr Millis kRetryLeaving = 60;  // at another proxy: this one takes no new connections any more
+constexpr Millis kConnectTimeoutMs = 400, kIdleCloseMs = 9000, kDeadAfterMs = 2500;
+constexpr double kConnectionShare = 0.25;  // of the file descriptors, for connections to other proxies
+constexpr std::size_t kMinConnections = 32, kMinServices = 4;
+constexpr Millis kBodyTimeoutMs = 30000;
+constexpr std::size_t kMaxBodyBytes = 64 << 20;
+constexpr int kRequestIdBits = 48;  // low bits of a RequestId; the high bits are the service client's number
+constexpr std::uint32_t kAssumedProxies = 15;
+constexpr Millis kLeavingRetryMs = 60;  // soon, as another proxy has to be used
 
-HttpResponse unsettled() {
-    return refusal(*NotRun::from({Execution::not_run, Reason::unsettled}), routing::kRetryUnsettled);
+HttpResponse no_configuration_refusal() {
+    return refusal(*NotRun::from({Execution::not_run, Reason::no_configuration}), routing::kRetryUnsettled);
 }
 
 Host host_of(const routing::ListedServer& server) {
@@ -39,40 +39,42 @@
 }
 }  // namespace
 
-struct Outbound::Pool {
-    Pool(Outbound& owner, const std::string& name, std::uint64_t index)
-        : service(name), number(index), dialect(around(owner), budget(owner.boot_)) {
-        config.seed = owner.seed_ + index;
+struct Outbound::ServiceClient {
+    ServiceClient(Outbound& outbound, const std::string& name, std::uint64_t index)
+        : service(name), number(index), dialect(dependencies(outbound), budget(outbound.boot_)) {
+        config.seed = outbound.seed_ + index;
         std::optional<ZoneId> zone;
-        if (const auto at = owner.zones_.find(owner.boot_.zone); at != owner.zones_.end()) zone = at->second;
-        config.settings = admission::module_settings(zone, kProxies);
-        for (const auto& [zone_name, id] : owner.zones_) {
+        if (const auto at = outbound.zones_.find(outbound.boot_.zone); at != outbound.zones_.end())
+            zone = at->second;
+        config.settings = admission::module_settings(zone, kAssumedProxies);
+        for (const auto& [zone_name, id] : outbound.zones_) {
             (void)id;
             config.zone(zone_name);
         }
         Upstream::Limits limits;
-        limits.connect_timeout = kConnectWithin;
-        limits.idle_close = kIdleClose;
+        limits.connect_timeout = kConnectTimeoutMs;
+        limits.idle_close = kIdleCloseMs;
         const std::size_t services =
-            std::max(kLeastServices, owner.configuration_ ? owner.configuration_->services.size() : 0);
+            std::max(kMinServices, outbound.configuration_ ? outbound.configuration_->services.size() : 0);
         limits.connections = std::max(
-            kLeastConnections,
-            static_cast<std::size_t>(static_cast<double>(owner.boot_.file_limit) * kConnectionShare) /
+            kMinConnections,
+            static_cast<std::size_t>(static_cast<double>(outbound.boot_.file_limit) * kConnectionShare) /
                 services);
-        limits.settle = 0;
-        limits.dead_after = kDeadAfter;
-        sidecar = std::make_unique<Sidecar>(owner.io_, owner.clock_, config, limits, dialect);
+        limits.reuse_delay = 0;
+        limits.dead_after = kDeadAfterMs;
+        sidecar = std::make_unique<Sidecar>(outbound.io_, outbound.clock_, config, limits, dialect);
         sidecar->start();
     }
-    static MeshDialect::Around around(Outbound& owner) {
-        return {owner.clock_, owner.around_.live_proxies,
-                [&owner] { return owner.configuration_ ? owner.configuration_->edition : 0; },
-                [&owner](const std::string& life) {
-                    owner.directory_.avoid(owner.clock_.now(), life);
-                    owner.registry_changed();
+    static MeshDialect::Dependencies dependencies(Outbound& outbound) {
+        return {outbound.clock_, outbound.callbacks_.live_proxies,
+                [&outbound] { return outbound.configuration_ ? outbound.configuration_->edition : 0; },
+                [&outbound](const std::string& instance_id) {
+                    outbound.directory_.avoid(outbound.clock_.now(), instance_id);
+                    outbound.registry_changed();
                 },
-                [&owner](const std::string& life, std::uint64_t edition) {
-                    if (const auto ip = owner.directory_.ip_of(life)) owner.around_.newer(*ip, edition);
+                [&outbound](const std::string& instance_id, std::uint64_t edition) {
+                    if (const auto ip = outbound.directory_.ip_of(instance_id))
+                        outbound.callbacks_.on_peer_edition(*ip, edition);
                 }};
     }
     static admission::RetryBudget::Settings budget(const boot::Boot& boot) {
@@ -90,14 +92,14 @@
     std::unique_ptr<Sidecar> sidecar;
 };
 
-Outbound::Outbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+Outbound::Outbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Callbacks callbacks,
                    std::uint64_t seed)
     : io_(io),
       clock_(clock),
       boot_(boot),
-      around_(std::move(around)),
+      callbacks_(std::move(callbacks)),
       seed_(seed),
-      lots_(seed),
+      random_(seed),
       early_(clock.now()),
       early_timer_(io),
       avoid_timer_(io) {
@@ -107,9 +109,9 @@
 
 Outbound::~Outbound() { *alive_ = false; }
 
-void Outbound::hold(std::shared_ptr<const config::Configuration> configuration) {
+void Outbound::apply_configuration(std::shared_ptr<const config::Configuration> configuration) {
     configuration_ = std::move(configuration);
-    for (const auto& [name, service] : configuration_->services) pool(name);
+    for (const auto& [name, service] : configuration_->services) service_client(name);
     early_timer_.cancel();
     for (auto& early : early_.take()) {
         EarlyRequest& request = early.request;
@@ -118,22 +120,23 @@
         if (auto response = local(*request.message))
             client->answer(std::move(*response));
         else
-            later_[early.id] = arrived(std::move(request.message), request.spent + clock_.now() - early.came,
-                                       std::move(request.client));
+            reassigned_ids_[early.id] =
+                arrived(std::move(request.message), request.spent + clock_.now() - early.arrived_at,
+                        std::move(request.client));
     }
 }
 
-// The first configuration has not come in time: what waits for it is told when to come back.
+// Refuses the requests that wait for the first configuration, with a time to retry.
 void Outbound::refuse_early() {
     for (const auto& early : early_.take())
-        if (const auto client = early.request.client.lock()) client->answer(unsettled());
+        if (const auto client = early.request.client.lock()) client->answer(no_configuration_refusal());
 }
 
-Outbound::Pool& Outbound::pool(const std::string& service) {
-    auto& found = pools_[service];
+Outbound::ServiceClient& Outbound::service_client(const std::string& service) {
+    auto& found = clients_[service];
     if (!found) {
-        found = std::make_unique<Pool>(*this, service, by_number_.size());
-        by_number_.push_back(found.get());
+        found = std::make_unique<ServiceClient>(*this, service, clients_by_number_.size());
+        clients_by_number_.push_back(found.get());
         registry_changed();
     }
     return *found;
@@ -146,33 +149,33 @@
 
 void Outbound::answer_all() {
     refuse_early();
-    for (Pool* pool : by_number_) pool->sidecar->answer_all();
+    for (ServiceClient* service_client : clients_by_number_) service_client->sidecar->answer_all();
 }
 
 bool Outbound::busy() const {
-    return std::any_of(by_number_.begin(), by_number_.end(),
-                       [](const Pool* p) { return p->sidecar->unanswered() > 0; });
+    return std::any_of(clients_by_number_.begin(), clients_by_number_.end(),
+                       [](const ServiceClient* p) { return p->sidecar->unanswered() > 0; });
 }
 
 // ---- Servers ----------------------------------------------------------------------------------------------
 
 void Outbound::registry_changed() {
-    if (listing_) return;
-    listing_ = true;
+    if (list_scheduled_) return;
+    list_scheduled_ = true;
     asio::post(io_, [this, alive = alive_] {
         if (*alive) list_servers();
     });
 }
 
 void Outbound::list_servers() {
-    listing_ = false;
-    const auto lists = directory_.list(clock_.now(), around_.each);
-    for (auto& [service, pool] : pools_) {
+    list_scheduled_ = false;
+    const auto lists = directory_.list(clock_.now(), callbacks_.visit_proxies);
+    for (auto& [service, service_client] : clients_) {
         HostList list;
         list.whole = true;
         if (const auto at = lists.by_service.find(service); at != lists.by_service.end())
             for (const routing::ListedServer& server : at->second) list.hosts.push_back(host_of(server));
-        pool->sidecar->told(list);
+        service_client->sidecar->told(list);
     }
     if (lists.again_at == 0) return;
     avoid_timer_.expires_at(clock_.point(lists.again_at));
@@ -185,14 +188,14 @@
 
 Front::Bounds Outbound::bounds() const {
     Bounds b;
-    b.body = kMostBody;
-    b.read_time = kBodyTime;
+    b.body = kMaxBodyBytes;
+    b.read_time = kBodyTimeoutMs;
     if (!configuration_) return b;
     const config::Limits& limits = configuration_->limits;
     b.header = std::clamp<std::size_t>(limits.max_header_bytes, 1024, 1 << 20);
-    b.body = std::min<std::uint64_t>(limits.max_body_bytes, kMostBody);
+    b.body = std::min<std::uint64_t>(limits.max_body_bytes, kMaxBodyBytes);
     b.head_time = std::max(100.0, limits.header_read_ms);
-    b.read_time = b.head_time + kBodyTime;
+    b.read_time = b.head_time + kBodyTimeoutMs;
     b.idle_time = std::max(100.0, limits.idle_timeout_ms);
     return b;
 }
@@ -205,7 +208,7 @@
     if (target.empty() || target.front() != '/' || path_fault({target.data(), target.size()}))
         return http::status::bad_request;
     if (head.count(http::field::host) != 1 || head.count(kRequestId) != 1 || head[kRequestId].empty() ||
-        head.count(kDeadline) > 1 || (head.count(kDeadline) == 1 && !read_ms(head[kDeadline])))
+        head.count(kDeadline) > 1 || (head.count(kDeadline) == 1 && !parse_ms(head[kDeadline])))
         return http::status::bad_request;
     if (head.method() == http::verb::head || head.method() == http::verb::connect ||
         head.method() == http::verb::unknown)
@@ -219,10 +222,10 @@
 }
 
 std::optional<HttpResponse> Outbound::local(const HttpRequest& request) {
-    if (refuses_new_) return refusal(*NotRun::from({Execution::not_run, Reason::leaving}), kRetryLeaving);
+    if (refuses_new_) return refusal(*NotRun::from({Execution::not_run, Reason::leaving}), kLeavingRetryMs);
     if (!configuration_) {
         if (early_.may_wait(clock_.now())) return {};
-        return unsettled();
+        return no_configuration_refusal();
     }
     if (!route_of(request)) return HttpResponse(http::status::not_found, 11);
     return {};
@@ -238,10 +241,10 @@
         return id;
     }
     const Route* route = route_of(*request);
-    const Millis client_left = read_ms((*request)[kDeadline]).value_or(route->deadline_ms);
+    const Millis client_left = parse_ms((*request)[kDeadline]).value_or(route->deadline_ms);
     Millis left = routing::time_left(*route, client_left, spent);
     if (answers_at_) left = std::max(0.0, std::min(left, *answers_at_ - clock_.now()));
-    // Whatever Connection names, these stay: the server and the admission go by them.
+    // Keep these even if the client's Connection field names them: the server and the admission need them.
     const std::string name((*request)[kRequestId]), host((*request)[http::field::host]);
     strip_hop_by_hop(*request);
     request->set(kRequestId, name);
@@ -255,26 +258,26 @@
     request->set(kHop, to_text(hop));
     request->set(kCaller, boot_.service);
     request->prepare_payload();
-    Pool& to = pool(routing::choose_service(*route, lots_.unit()));
+    ServiceClient& to = service_client(routing::choose_service(*route, random_.unit()));
     const RequestId id = to.sidecar->arrived(std::move(request), left, std::move(client));
-    return to.number << kIdBits | id;
+    return to.number << kRequestIdBits | id;
 }
 
 void Outbound::client_gone(RequestId id) {
     if (early_.is_early(id)) {
         early_.remove(id);
-        const auto later = later_.find(id);
-        if (later == later_.end()) return;
-        id = later->second;
+        const auto reassigned = reassigned_ids_.find(id);
+        if (reassigned == reassigned_ids_.end()) return;
+        id = reassigned->second;
     }
-    by_number_.at(id >> kIdBits)->sidecar->client_gone(id & ((1ULL << kIdBits) - 1));
+    clients_by_number_.at(id >> kRequestIdBits)->sidecar->client_gone(id & ((1ULL << kRequestIdBits) - 1));
 }
 
 std::string Outbound::status() const {
     Json::Value all;
-    for (const auto& [service, pool] : pools_) {
+    for (const auto& [service, service_client] : clients_) {
         Json::Value& one = all[service];
-        const auto& counts = pool->dialect.counts();
+        const auto& counts = service_client->dialect.counts();
         one["requests"] = Json::UInt64(counts.requests);
         one["tries"] = Json::UInt64(counts.tries);
         one["bounced"] = Json::UInt64(counts.bounced);
@@ -282,7 +285,7 @@
         one["broken"] = Json::UInt64(counts.broken);
         one["refused"] = Json::UInt64(counts.refused);
         one["failed"] = Json::UInt64(counts.failed);
-        one["module"] = pool->sidecar->tally();
+        one["module"] = service_client->sidecar->tally();
     }
     Json::StreamWriterBuilder writer;
     writer["indentation"] = "";
--- a/src/proxy/outbound.hpp
+++ b/src/proxy/outbound.hpp
@@ -1,6 +1,7 @@
-// The caller's side of a proxy: requests of the clients and of the server on this machine, by the
-// configuration's routes to a service's servers. One Sidecar (and so one decision module) a service, each
-// with the servers that the registry knows. Entry type: Outbound, a Listener's Front. Made by Proxy.
+// Caller side of a proxy: routes requests of clients and of the server on this machine to the servers of a
+// service, by the routes of the configuration. Each service has its own Sidecar, and so its own decision
+// module, which is given the servers in the registry. Entry type: Outbound, a Listener's Front. Created by
+// Proxy; used by the io_context's thread only.
 #pragma once
 
 #include <map>
@@ -20,27 +21,29 @@
 
 class Outbound : public Front {
 public:
-    struct Around {
+    struct Callbacks {
         std::function<std::size_t()> live_proxies;
-        // Visits all known proxies.
-        std::function<void(const std::function<void(const registry::NodeRecord&, registry::Standing)>&)> each;
-        std::function<void(std::uint32_t ip, std::uint64_t edition)> newer;  // somebody holds a newer edition
+        // Visits all known proxies, this one included.
+        std::function<void(const std::function<void(const registry::NodeRecord&, registry::Standing)>&)>
+            visit_proxies;
+        // The proxy at `ip` has reported the configuration edition that it has.
+        std::function<void(std::uint32_t ip, std::uint64_t edition)> on_peer_edition;
         std::function<void(std::uint32_t ip)> unreachable;
     };
-    Outbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Around around,
+    Outbound(asio::io_context& io, const Clock& clock, const boot::Boot& boot, Callbacks callbacks,
              std::uint64_t seed);
     ~Outbound() override;
 
-    void hold(std::shared_ptr<const config::Configuration> configuration);
-    bool holds() const { return configuration_ != nullptr; }
-    void registry_changed();  // soon, once for many
+    void apply_configuration(std::shared_ptr<const config::Configuration> configuration);
+    bool has_configuration() const { return configuration_ != nullptr; }
+    void registry_changed();  // lists the servers anew in the next turn; calls until then are merged
     bool busy() const;
 
-    // This node leaves: what is taken from here on ends by `answers_at`.
+    // The proxy shuts down: requests that arrive from now on get no deadline later than `answers_at`.
     void leave(Millis answers_at) { answers_at_ = answers_at; }
-    // What arrives from here on is refused.
+    // Requests that arrive from now on are refused.
     void refuse_new();
-    // Every request that is held gets its final answer now, by what is known of it.
+    // Every pending request is answered now: refused if it certainly has not run, else failed.
     void answer_all();
 
     Bounds bounds() const override;
@@ -52,20 +55,20 @@
     RequestId arrived(RequestPtr request, Millis spent, std::weak_ptr<Client> client) override;
     void client_gone(RequestId id) override;
 
-    std::string status() const;  // JSON, for the doctor
+    std::string status() const;  // JSON, for diagnostics
 
 private:
-    struct Pool;
-    Pool& pool(const std::string& service);
+    struct ServiceClient;
+    ServiceClient& service_client(const std::string& service);
     void list_servers();
     const config::Route* route_of(const HttpRequest& request) const;
 
     asio::io_context& io_;
     const Clock& clock_;
     const boot::Boot& boot_;
-    Around around_;
+    Callbacks callbacks_;
     std::uint64_t seed_;
-    kelplb::Random lots_;
+    kelplb::Random random_;
     std::shared_ptr<const config::Configuration> configuration_;
     struct EarlyRequest {
         RequestPtr message;
@@ -74,15 +77,15 @@
     };
     void refuse_early();
     routing::EarlyRequests<EarlyRequest> early_;
-    std::map<RequestId, RequestId> later_;  // the number that an early one was given, and the one it has now
+    std::map<RequestId, RequestId> reassigned_ids_;  // of early requests that were forwarded: old and new id
     asio::steady_timer early_timer_;
-    std::map<std::string, std::unique_ptr<Pool>> pools_;
-    std::vector<Pool*> by_number_;
+    std::map<std::string, std::unique_ptr<ServiceClient>> clients_;
+    std::vector<ServiceClient*> clients_by_number_;
     std::map<std::string, ZoneId> zones_;
     routing::ServerDirectory directory_;
     asio::steady_timer avoid_timer_;
-    bool listing_ = false, refuses_new_ = false;
-    std::optional<Millis> answers_at_;  // once this node leaves
+    bool list_scheduled_ = false, refuses_new_ = false;
+    std::optional<Millis> answers_at_;  // set once the proxy shuts down
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,5 +1,6 @@
-// A sidecar proxy put together: gossip, configuration, admission, callers' side, APIs.
-// Entry type: Proxy. Made by the program cobaltshift-proxy.
+// A sidecar proxy: connects gossip, configuration distribution, the caller side (Outbound), the server side
+// (Inbound) and the control APIs, and runs the shutdown sequence. Entry type: Proxy. Created by the program
+// cobaltshift-proxy; used by the io_context's thread only.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 #include "config_io/config_distributor.hpp"
 #include "gossip_io/gossip_transport.hpp"
 #include "net/listener.hpp"
-#include "proxy/beats.hpp"
+#include "proxy/heartbeat_resource.hpp"
 #include "proxy/inbound.hpp"
 #include "proxy/outbound.hpp"
 #include "shutdown/shutdown_sequence.hpp"
@@ -20,33 +21,34 @@
 
 class Proxy {
 public:
-    // Throws boost::system::system_error if it can't listen.
+    // Throws boost::system::system_error if a listening address can't be opened.
     Proxy(asio::io_context& io, boot::Boot boot, std::uint64_t seed);
 
-    // SIGTERM: stops taking work in order, answers all that it holds, and calls `done` (ShutdownSequence).
+    // SIGTERM: shuts down in the order of ShutdownSequence, answers all pending requests and calls `done`.
     void stop(std::function<void()> done);
     void reload(const boot::Boot& boot);  // SIGHUP
     bool ready() const;
-    std::string status() const;  // JSON, for the doctor
+    std::string status() const;  // JSON, for diagnostics
 
 private:
-    void heard_beat(const Beat& beat);
-    void heard_gone(const std::string& life);
-    void took(std::shared_ptr<const config::Configuration> configuration);
-    // Puts what the distributor holds in force once it may be, and asks whether it is current
-    // (StartupConfirmation).
-    void reconsider_configuration();
-    void put_in_force(std::shared_ptr<const config::Configuration> configuration);
-    // Started again beside a server that runs on: its next heartbeat is up to heartbeat_s away.
-    void ask_health(const config::Configuration& configuration);
+    void on_heartbeat(const Heartbeat& beat);
+    void on_deregistered(const std::string& instance_id);
+    void on_new_configuration(std::shared_ptr<const config::Configuration> configuration);
+    // Puts the distributor's configuration in force as soon as StartupConfirmation allows it, and asks
+    // control nodes whether it is current.
+    void update_configuration();
+    void activate_configuration(std::shared_ptr<const config::Configuration> configuration);
+    // Checks the server's health after a restart of the proxy beside a running server, whose next heartbeat
+    // may be up to heartbeat_s away.
+    void check_health(const config::Configuration& configuration);
 
-    // SIGTERM's order, step by step.
-    void proceed_to_end();
+    // Carries out the steps of the shutdown sequence that are due and waits for the next one.
+    void advance_shutdown();
     void carry_out(shutdown::Step step);
     bool holds_requests() const;
     void log_unanswered() const;
     void log_link_waits();
-    void tally();
+    void schedule_tally_log();
 
     asio::io_context& io_;
     boot::Boot boot_;
@@ -54,19 +56,19 @@
     gossip_io::GossipTransport gossip_;
     config::ConfigDistributor distributor_;
     config::StartupConfirmation confirmation_;
-    config::StartupConfirmation::State told_state_ = config::StartupConfirmation::State::waiting;
+    config::StartupConfirmation::State logged_state_ = config::StartupConfirmation::State::waiting;
     config::Edition in_force_ = 0;
     std::unique_ptr<PacedLink> link_;
     Inbound inbound_;
     Outbound outbound_;
-    Beats beats_;
-    Ready ready_;
+    HeartbeatResource heartbeat_resource_;
+    ReadinessResource readiness_resource_;
     api::ApiFront control_front_, ready_front_;
     Listener outbound_listener_, inbound_listener_, control_listener_, ready_listener_;
     asio::steady_timer timer_, tally_timer_, confirmation_timer_;
-    std::function<void()> stopped_;
-    std::optional<shutdown::ShutdownSequence> shutdown_;  // since SIGTERM
-    bool leaving_ = false, asked_health_ = false, told_confirmed_ = false;
+    std::function<void()> on_stopped_;
+    std::optional<shutdown::ShutdownSequence> shutdown_;  // set by SIGTERM
+    bool leaving_ = false, health_checked_ = false, was_confirmed_ = false;
 };
 
 }  // namespace cobaltshift::proxy
--- a/src/routing/early_requests.hpp
+++ b/src/routing/early_requests.hpp
@@ -1,5 +1,6 @@
-// Requests that came before this proxy had a configuration in force: they wait a moment for it, then they are
-// refused. Entry type: EarlyRequests. Free of I/O; called by proxy::Outbound and sim_mesh.
+// Queue of the requests that arrive before the proxy has a configuration in force. They wait for it for a
+// bounded time after the start and are then refused. Entry type: EarlyRequests. Does no I/O; called by
+// proxy::Outbound and sim_mesh. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +11,28 @@
 
 namespace cobaltshift::routing {
 
-constexpr Millis kRetryUnsettled = 500;  // when a client that is refused for it should come back
+constexpr Millis kRetryUnsettled = 500;  // ms; advice to a refused client when to retry
 
 template <class Request>
 class EarlyRequests {
 public:
-    static constexpr Millis kWait = 900;
-    static constexpr std::size_t kMost = 500;
+    static constexpr Millis kWaitMs = 900;
+    static constexpr std::size_t kMaxRequests = 500;
     struct Early {
-        RequestId id = 0;  // bears kBit: none of a request that was passed on does
-        Millis came = 0;
+        RequestId id = 0;  // has kEarlyBit set, which ids of forwarded requests never have
+        Millis arrived_at = 0;
         Request request;
     };
-    static constexpr RequestId kBit = 1ULL << 63;
+    static constexpr RequestId kEarlyBit = 1ULL << 63;
 
-    explicit EarlyRequests(Millis now) : until_(now + kWait) {}
-    bool may_wait(Millis now) const { return now < until_ && waiting_.size() < kMost; }
+    // `now`: when the proxy starts; requests wait until kWaitMs later.
+    explicit EarlyRequests(Millis now) : until_(now + kWaitMs) {}
+    bool may_wait(Millis now) const { return now < until_ && waiting_.size() < kMaxRequests; }
     Millis until() const { return until_; }
-    static bool is_early(RequestId id) { return (id & kBit) != 0; }
+    static bool is_early(RequestId id) { return (id & kEarlyBit) != 0; }
 
     RequestId add(Millis now, Request request) {
-        const RequestId id = kBit | ++count_;
+        const RequestId id = kEarlyBit | ++last_number_;
         waiting_.push_back({id, now, std::move(request)});
         return id;
     }
@@ -42,7 +44,7 @@
 private:
     Millis until_;
     std::vector<Early> waiting_;
-    RequestId count_ = 0;
+    RequestId last_number_ = 0;
 };
 
 }  // namespace cobaltshift::routing
--- a/src/routing/server_directory.hpp
+++ b/src/routing/server_directory.hpp
@@ -1,6 +1,6 @@
-// The servers that the decision module may pick from, service by service, as the registry tells of them and
-// as their admissions have answered. Entry type: ServerDirectory. Free of I/O; called by proxy::Outbound and
-// sim_mesh.
+// The servers of each service that the decision module may choose from: derived from the registry, and from
+// refusals by which admissions asked callers to stay away. Entry type: ServerDirectory. Does no I/O; called
+// by proxy::Outbound and sim_mesh. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,13 @@
 namespace cobaltshift::routing {
 
 struct ListedServer {
-    std::string life;  // its instance id
+    std::string life;  // of the server process
     std::uint32_t ip = 0;
     std::uint16_t traffic_port = 0;
     std::string zone;
-    Phase phase = Phase::on;  // fading: what it has goes on, nothing new goes there
-    Millis born = 0;          // as the module is told; 0: long ago
-    double units = 1;         // its capacity
+    Phase phase = Phase::on;  // fading: gets no new requests, running ones go on
+    Millis born = 0;          // start time as passed to the module; 0: long ago
+    double units = 1;         // capacity in slots
 };
 
 class ServerDirectory {
@@ -30,20 +30,22 @@
     using EachNode = std::function<void(const Visitor&)>;
     struct Lists {
         std::map<std::string, std::vector<ListedServer>> by_service;
-        Millis again_at = 0;  // when a server that is avoided now may be used again; 0: none is
+        Millis again_at = 0;  // when the first avoided server may be used again; 0: none is avoided
     };
 
-    // Its admission takes nothing for now, or is another's.
-    void avoid(Millis now, const std::string& life);
+    // The admission of this instance refuses all requests for now, or is another instance's: the server is
+    // listed as fading for 700 ms.
+    void avoid(Millis now, const std::string& instance_id);
+    // `each_node` calls its visitor with each known node. Servers of nodes that are gone are left out.
     Lists list(Millis now, const EachNode& each_node);
-    // Of a server of the newest list.
-    std::optional<std::uint32_t> ip_of(const std::string& life) const;
+    // The node that serves this instance in the newest list; none: unknown.
+    std::optional<std::uint32_t> ip_of(const std::string& instance_id) const;
 
 private:
-    Millis born(Millis now, const registry::ServerRecord& server) const;
+    Millis start_time(Millis now, const registry::ServerRecord& server) const;
 
-    std::map<std::string, Millis> avoided_;  // lives, until when
-    std::map<std::string, Millis> born_;     // lives
+    std::map<std::string, Millis> avoided_until_;  // by instance id
+    std::map<std::string, Millis> start_times_;    // by instance id
     std::map<std::string, std::uint32_t> ip_of_;
 };
 
--- a/src/routing/service_choice.hpp
+++ b/src/routing/service_choice.hpp
@@ -1,5 +1,5 @@
-// Which service a request goes to, and how long it may take: by its route alone. Free of I/O; called by
-// proxy::Outbound and sim_mesh.
+// The service that a request is sent to and the time it may take, both derived from its route. Pure
+// functions, called by proxy::Outbound and sim_mesh.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace cobaltshift::routing {
 
-// Taken off the client's time: the answer has to be there before it gives up, not on its way.
-constexpr Millis kAnswerMargin = 8;
+// Subtracted from the client's deadline: the answer must have arrived by then, not be on its way.
+constexpr Millis kAnswerMarginMs = 8;
 
-// By the weights of the route's split; `draw` is in [0, 1).
-inline const std::string& choose_service(const config::Route& route, double draw) {
+// Chooses by the weights of the route's split. `random_unit`: uniform in [0, 1).
+inline const std::string& choose_service(const config::Route& route, double random_unit) {
     double total = 0;
     for (const auto& share : route.split) total += share.weight;
-    double left = draw * total;
+    double left = random_unit * total;
     const std::string* chosen = &route.split.front().service;
     for (const auto& share : route.split) {
         if (share.weight <= 0) continue;
@@ -28,9 +28,10 @@
     return *chosen;
 }
 
-// Of a request whose client waits `client_left` from its first byte, `spent` ago.
+// The time left for a request, in ms. Its client waits `client_left` from the request's first byte, which
+// arrived `spent` ago.
 inline Millis time_left(const config::Route& route, Millis client_left, Millis spent) {
-    return std::max(0.0, std::min(client_left, route.deadline_ms) - spent - kAnswerMargin);
+    return std::max(0.0, std::min(client_left, route.deadline_ms) - spent - kAnswerMarginMs);
 }
 
 }  // namespace cobaltshift::routing
--- a/src/shutdown/shutdown_sequence.hpp
+++ b/src/shutdown/shutdown_sequence.hpp
@@ -1,13 +1,13 @@
-// The order in which a proxy ends after SIGTERM: which step is due when. Entry type: ShutdownSequence. Free
-// of I/O; driven over sockets by proxy::Proxy, in virtual time by simmesh::Proxy.
+// Schedule of a proxy's graceful shutdown after SIGTERM. Entry type: ShutdownSequence. Does no I/O; driven
+// over sockets by proxy::Proxy and in virtual time by simmesh::Proxy. Not thread-safe.
 //
-// Readiness is off and answers close their connections from the first moment. Then, in this order:
-//   close_admission   callers have heard that this node leaves: its server gets nothing new by it
-//   refuse_new        no new connections; a request that arrives whole on an open one is refused, as there
-//                     may be no time left to answer it by
-//   answer_held       every request that is still held gets its answer by what is known of it: refused if it
-//                     never ran, else failed. Late enough that a server which is still at work had its time
-//   end               the process ends, sooner if nothing is held any more
+// Readiness is withdrawn and answers close their connections from the start. Then, in this order:
+//   close_admission   by now callers have learned that this node leaves: the admission starts nothing new
+//   refuse_new        no new connections are accepted; a request that arrives on an open one is refused, as
+//                     there may not be enough time left to answer it
+//   answer_held       every pending request is answered: refused if it never ran, else failed. Late enough
+//                     that a server that still runs a request had its time
+//   end               the process exits; earlier if no request is pending
 #pragma once
 
 #include <algorithm>
@@ -23,38 +23,39 @@
 
 class ShutdownSequence {
 public:
-    static constexpr Millis kCloseAdmissionAfter = 400, kRefuseNewAfter = 2600;
-    // Before the platform's SIGKILL: what is left for answers to be written, and for the process to end.
-    static constexpr Millis kAnswersFor = 500, kEndsFor = 150;
-    // Of the grace time, at most: a short one is shared out alike.
-    static constexpr double kAnswersShare = 1.0 / 12, kEndsShare = 1.0 / 40, kRefuseNewShare = 0.45;
-    static constexpr Millis kLook = 20;  // between looks at whether anything is held
-
-    ShutdownSequence(Millis asked_at, Millis grace)
-        : at_{asked_at + std::min(kCloseAdmissionAfter, grace * kRefuseNewShare / 2),
-              asked_at + std::min(kRefuseNewAfter, grace * kRefuseNewShare),
-              asked_at + grace - std::min(kAnswersFor, grace * kAnswersShare),
-              asked_at + grace - std::min(kEndsFor, grace * kEndsShare)} {}
-
-    // The next step that is due, in order, each once; none: nothing is due yet.
+    static constexpr Millis kCloseAdmissionAfterMs = 400, kRefuseNewAfterMs = 2600;
+    // Time reserved before the platform's SIGKILL: for writing the last answers, and for the process to exit.
+    static constexpr Millis kAnswerTimeMs = 500, kExitTimeMs = 150;
+    // Upper bounds as parts of the grace time, so that a short one is divided in proportion.
+    static constexpr double kAnswerTimeShare = 1.0 / 12, kExitTimeShare = 1.0 / 40, kRefuseNewShare = 0.45;
+    static constexpr Millis kCheckIntervalMs = 20;  // between checks for pending requests
+
+    // `grace`: ms from SIGTERM to SIGKILL.
+    ShutdownSequence(Millis requested_at, Millis grace)
+        : due_at_{requested_at + std::min(kCloseAdmissionAfterMs, grace * kRefuseNewShare / 2),
+                  requested_at + std::min(kRefuseNewAfterMs, grace * kRefuseNewShare),
+                  requested_at + grace - std::min(kAnswerTimeMs, grace * kAnswerTimeShare),
+                  requested_at + grace - std::min(kExitTimeMs, grace * kExitTimeShare)} {}
+
+    // Returns the next step that is due, each step once and in order; none if no step is due yet.
     std::optional<Step> take_due(Millis now, bool anything_held) {
-        if (next_ == at_.size()) return {};
+        if (next_ == due_at_.size()) return {};
         const bool may_end = next_ > static_cast<std::size_t>(Step::refuse_new) && !anything_held;
         if (may_end) next_ = static_cast<std::size_t>(Step::end);
-        if (!may_end && now < at_[next_]) return {};
+        if (!may_end && now < due_at_[next_]) return {};
         return static_cast<Step>(next_++);
     }
-    // When to ask take_due() again.
+    // When to call take_due() again.
     Millis next_look(Millis now) const {
-        if (next_ == at_.size()) return now + kLook;
+        if (next_ == due_at_.size()) return now + kCheckIntervalMs;
         const bool waits = next_ > static_cast<std::size_t>(Step::refuse_new);
-        return std::max(now, waits ? std::min(now + kLook, at_[next_]) : at_[next_]);
+        return std::max(now, waits ? std::min(now + kCheckIntervalMs, due_at_[next_]) : due_at_[next_]);
     }
-    // When all that is held gets its answer: nothing that is taken after SIGTERM may be given longer.
-    Millis answers_at() const { return at_[static_cast<std::size_t>(Step::answer_held)]; }
+    // When every pending request is answered. Requests that arrive after SIGTERM get no later deadline.
+    Millis answers_at() const { return due_at_[static_cast<std::size_t>(Step::answer_held)]; }
 
 private:
-    std::array<Millis, 4> at_;
+    std::array<Millis, 4> due_at_;
     std::size_t next_ = 0;
 };
 
