--- a/src/api/api_front.cpp
+++ b/src/api/api_front.cpp
@@ -6,9 +6,9 @@
 namespace cobaltshift::api {
 
 namespace {
-constexpr Millis kHeadTime = 5000, kReadTime = 15000, kIdleTime = 30000;
+constexpr Millis kHeadTimeMs = 5000, kReadTimeMs = 15000, kIdleTimeMs = 30000;
 
-HttpResponse as_http(ApiAnswer answer) {
+HttpResponse to_http(ApiAnswer answer) {
     HttpResponse response(static_cast<http::status>(answer.status), 11);
     if (!answer.body.empty()) response.set(http::field::content_type, "application/json");
     if (!answer.location.empty()) response.set(http::field::location, answer.location);
@@ -21,8 +21,8 @@
 
 Front::Bounds ApiFront::bounds() const {
     Bounds b;
-    b.body = most_body_;
-    b.head_time = kHeadTime, b.read_time = kReadTime, b.idle_time = kIdleTime;
+    b.body = max_body_bytes_;
+    b.head_time = kHeadTimeMs, b.read_time = kReadTimeMs, b.idle_time = kIdleTimeMs;
     return b;
 }
 
@@ -36,7 +36,7 @@
     call.if_match = std::string((*request)[http::field::if_match]);
     request.reset();
     const auto done = [client](ApiAnswer answer) {
-        if (const auto waiting = client.lock()) waiting->answer(as_http(std::move(answer)));
+        if (const auto waiting = client.lock()) waiting->answer(to_http(std::move(answer)));
     };
     for (Resource* resource : resources_)
         if (resource->handle(call, done)) return next_++;
--- a/src/api/api_front.hpp
+++ b/src/api/api_front.hpp
@@ -1,6 +1,6 @@
-// The desk at which servers, operators and the platform call (standard term: API server): a Listener's Front
-// that hands each call to the first Resource whose target it is. Entry type: ApiFront. Used by the proxy
-// (beats, readiness) and by the control node (configuration).
+// API server for servers, operators and the platform: a Listener's front end that passes each call to the
+// first Resource that handles its target. Entry type: ApiFront. Used by the proxy (server heartbeats,
+// readiness) and by the control node (configuration).
 #pragma once
 
 #include <unordered_map>
@@ -12,8 +12,9 @@
 
 class ApiFront : public Front {
 public:
-    // `most_body`: bytes of a call's body.
-    explicit ApiFront(std::uint64_t most_body) : most_body_(most_body) {}
+    // `max_body_bytes`: limit for a request body.
+    explicit ApiFront(std::uint64_t max_body_bytes) : max_body_bytes_(max_body_bytes) {}
+    // `resource` must outlive the front end.
     void add(Resource& resource) { resources_.push_back(&resource); }
 
     Bounds bounds() const override;
@@ -24,7 +25,7 @@
     void client_gone(RequestId) override {}
 
 private:
-    std::uint64_t most_body_;
+    std::uint64_t max_body_bytes_;
     std::vector<Resource*> resources_;
     RequestId next_ = 1;
 };
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,6 +1,6 @@
 #include "log/log.hpp"
 
-// As headers only: what runs needs no library more.
+// Header-only, so that the program depends on no further shared library.
 #define SPDLOG_FMT_EXTERNAL
 #define FMT_HEADER_ONLY
 #include <spdlog/pattern_formatter.h>
@@ -15,8 +15,9 @@
 
 namespace {
 
-std::string plain(std::string text) {
-    if (text.size() > kLogLongest) text.resize(kLogLongest);
+// Replaces control characters by '?' and truncates the text to kMaxLogValueChars.
+std::string sanitized(std::string text) {
+    if (text.size() > kMaxLogValueChars) text.resize(kMaxLogValueChars);
     std::replace_if(
         text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; }, '?');
     return text;
@@ -26,9 +27,9 @@
 public:
     Log() : logger_("cobaltshift", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
         logger_.flush_on(spdlog::level::trace);
-        form(LogFormat::text);
+        set_format(LogFormat::text);
     }
-    void form(LogFormat format) {
+    void set_format(LogFormat format) {
         format_ = format;
         logger_.set_formatter(std::make_unique<spdlog::pattern_formatter>(
             format == LogFormat::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","pid":%P,%v})" : "cobaltshift: %v",
@@ -37,20 +38,20 @@
     void line(std::string_view event, std::string text, std::initializer_list<LogField> fields) {
         using Clock = std::chrono::steady_clock;
         const double now = std::chrono::duration<double>(Clock::now().time_since_epoch()).count();
-        const LogGate::Verdict verdict = gate_.ask(event, now);
-        if (!verdict.passes) return;
-        text = plain(std::move(text));
+        const LogRateLimiter::Decision decision = rate_limiter_.check(event, now);
+        if (!decision.allowed) return;
+        text = sanitized(std::move(text));
         if (format_ == LogFormat::numbered) text = std::string(event) + ": " + text;
         if (format_ != LogFormat::json) {
-            if (verdict.left_out > 0) logger_.info("{} lines left out: {}", verdict.left_out, event);
+            if (decision.suppressed > 0) logger_.info("{} lines left out: {}", decision.suppressed, event);
             return logger_.info("{}", text);
         }
         nlohmann::json all = {{"event", event}, {"text", std::move(text)}};
-        if (verdict.left_out > 0) all["left_out"] = verdict.left_out;
+        if (decision.suppressed > 0) all["left_out"] = decision.suppressed;
         for (const LogField& field : fields)
             std::visit([&](const auto& value) { all[std::string(field.key)] = value; }, field.value);
         for (auto& [key, value] : all.items())
-            if (value.is_string()) value = plain(value.get<std::string>());
+            if (value.is_string()) value = sanitized(value.get<std::string>());
         const std::string json = all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
         logger_.info("{}", std::string_view(json).substr(1, json.size() - 2));
     }
@@ -58,7 +59,7 @@
 private:
     spdlog::logger logger_;
     LogFormat format_ = LogFormat::text;
-    LogGate gate_;
+    LogRateLimiter rate_limiter_;
 };
 
 Log& log() {
@@ -68,7 +69,7 @@
 
 }  // namespace
 
-bool LogGate::Bucket::take(const LogBounds& bounds, double now) {
+bool LogRateLimiter::TokenBucket::try_take(const LogRate& bounds, double now) {
     allowance = std::min(bounds.burst, allowance + bounds.per_second * (now - at));
     at = now;
     if (allowance < 1) return false;
@@ -76,26 +77,27 @@
     return true;
 }
 
-LogGate::Named& LogGate::named(std::string_view event, double now) {
+LogRateLimiter::EventState& LogRateLimiter::event_state(std::string_view event, double now) {
     for (std::size_t i = 0; i < count_; ++i)
         if (events_[i].event == event) return events_[i];
-    if (count_ == kMostEvents) return events_[kMostEvents - 1];
-    events_[count_] = {std::string(event), {kLogEvent.burst, now}, {kLogReserved.burst, now}};
+    if (count_ == kMaxEvents) return events_[kMaxEvents - 1];
+    events_[count_] = {std::string(event), {kLogEventRate.burst, now}, {kLogReservedRate.burst, now}};
     return events_[count_++];
 }
 
-LogGate::Verdict LogGate::ask(std::string_view event, double now) {
-    Named& own = named(event, now);
-    const bool passes =
-        own.bucket.take(kLogEvent, now) && (all_.take(kLogAll, now) || own.reserved.take(kLogReserved, now));
-    if (!passes) {
-        ++own.bucket.left_out;
+LogRateLimiter::Decision LogRateLimiter::check(std::string_view event, double now) {
+    EventState& state = event_state(event, now);
+    const bool allowed =
+        state.bucket.try_take(kLogEventRate, now) &&
+        (all_.try_take(kLogTotalRate, now) || state.reserved.try_take(kLogReservedRate, now));
+    if (!allowed) {
+        ++state.bucket.suppressed;
         return {};
     }
-    return {true, std::exchange(own.bucket.left_out, 0)};
+    return {true, std::exchange(state.bucket.suppressed, 0)};
 }
 
-void log_as(LogFormat format) { log().form(format); }
+void log_as(LogFormat format) { log().set_format(format); }
 
 void log_line(std::string_view event, std::string text, std::initializer_list<LogField> fields) {
     log().line(event, std::move(text), fields);
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,7 +1,8 @@
-// The log on standard error, by spdlog: each message an event with a text for people and values by key; as
-// text, or as one JSON object a line by settings ([log] format). Bounded, as files and pipes count as memory
-// and a failing neighbour must not fill them: each event by itself, so that one that comes without end hides
-// no other, and all together. Entry: log_line(). For one thread.
+// Structured logging to standard error through spdlog. Each message has an event name, a text and key-value
+// fields. It is written as text or as one JSON object per line ([log] format in the settings). The rate is
+// limited, because log files and pipes count towards the process's memory and a failing neighbour must not
+// fill them: per event, so that a frequent event does not suppress others, and for all events together.
+// Entry: log_line(). Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,50 +18,51 @@
     std::variant<std::string, double, std::uint64_t, bool> value;
 };
 
-enum class LogFormat { text, json, numbered };  // numbered: text behind its event
+enum class LogFormat { text, json, numbered };  // numbered: the text follows the event name
 
-// Of lines: so many at once, then so many a second.
-struct LogBounds {
+// A token bucket: `burst` lines at once, then `per_second` lines per second.
+struct LogRate {
     double burst, per_second;
 };
-constexpr LogBounds kLogEvent{50, 1}, kLogAll{100, 2};
-// Of each event, whatever the others take of the bound of all: what is rare is heard beside what is not.
-constexpr LogBounds kLogReserved{4, 0.1};
-constexpr std::size_t kLogLongest = 200;  // characters of the text and of each value
+constexpr LogRate kLogEventRate{50, 1}, kLogTotalRate{100, 2};
+// Reserved for each event in addition to the total rate, so that rare events are logged beside frequent ones.
+constexpr LogRate kLogReservedRate{4, 0.1};
+constexpr std::size_t kMaxLogValueChars = 200;  // characters; applies to the text and to each value
 
-// From now on. Starts as text.
+// Sets the format from now on; the default is text.
 void log_as(LogFormat format);
 
-// `event`: a word of its own for this message, from the program alone. What was left out of an event is said
-// with its next line. Control characters become '?'.
+// `event`: a constant name that is unique to this message and never contains external input. The number of an
+// event's suppressed lines is reported with its next line. Control characters are replaced by '?', and the
+// text and each value are truncated to kMaxLogValueChars.
 void log_line(std::string_view event, std::string text, std::initializer_list<LogField> fields = {});
 
-// Which lines are let through: without a clock, for log_line() and its tests. `now`: seconds that never go
-// back.
-class LogGate {
+// Decides which lines are logged. Has no clock of its own; `now` is monotonic, in seconds.
+class LogRateLimiter {
 public:
-    // The number of this event's lines left out since its last that passed; none: this one is left out too.
-    struct Verdict {
-        bool passes = false;
-        std::uint64_t left_out = 0;
+    // `suppressed`: the number of this event's lines suppressed since its last one that was logged; only set
+    // if this line is logged.
+    struct Decision {
+        bool allowed = false;
+        std::uint64_t suppressed = 0;
     };
-    Verdict ask(std::string_view event, double now);
+    Decision check(std::string_view event, double now);
 
 private:
-    struct Bucket {
+    struct TokenBucket {
         double allowance, at;
-        std::uint64_t left_out = 0;
-        bool take(const LogBounds& bounds, double now);
+        std::uint64_t suppressed = 0;
+        bool try_take(const LogRate& bounds, double now);
     };
-    static constexpr std::size_t kMostEvents = 64;  // further ones share one
-    struct Named {
+    static constexpr std::size_t kMaxEvents = 64;  // further events share the last entry
+    struct EventState {
         std::string event;
-        Bucket bucket, reserved;
+        TokenBucket bucket, reserved;
     };
-    Named& named(std::string_view event, double now);
-    Named events_[kMostEvents];
+    EventState& event_state(std::string_view event, double now);
+    EventState events_[kMaxEvents];
     std::size_t count_ = 0;
-    Bucket all_{kLogAll.burst, 0};
+    TokenBucket all_{kLogTotalRate.burst, 0};
 };
 
 }  // namespace cobaltshift
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
-// The command line: `cobaltshift [serve]` is one real sidecar, `cobaltshift planner` advises many, `keeper`
-// and `lease` are lease_cli.hpp's, `site` is site_cli.hpp's. Exit codes: 0 stopped as asked, 1 failed to
-// start or run, 2 bad usage, configuration or settings.
+// The command line. `cobaltshift [serve]` runs one sidecar, `cobaltshift planner` a planner for a fleet of
+// sidecars; `keeper` and `lease` are in lease_cli.hpp, `site` in site_cli.hpp. Exit codes: 0 stopped as
+// requested, 1 failed to start or run, 2 invalid usage, configuration or settings.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -20,13 +20,15 @@
 
 using namespace cobaltshift;
 
+// Loads the settings, or the defaults without a file, and sets the log format.
 ProgramSettings settings_of(const std::string& file) {
     ProgramSettings settings = file.empty() ? ProgramSettings() : load_settings(file);
     log_as(settings.log);
     return settings;
 }
 
-// What goes wrong in one handler, memory that can't be had above all, must not end all others' requests.
+// Runs the event loop. An exception in one handler, such as a failed allocation, must not end all other
+// requests.
 void run(asio::io_context& io) {
     while (!io.stopped()) {
         try {
@@ -39,26 +41,26 @@
 
 void serve(const std::string& settings_file) {
     asio::io_context io(1);
-    // Before all else: a signal without its handler ends the process.
+    // Registered before everything else: a signal without a handler kills the process.
     asio::signal_set stop(io, SIGTERM, SIGINT), reload(io, SIGHUP);
     const ProgramSettings first = settings_of(settings_file);
     Node node(io, load_config(), first.shares);
     std::unique_ptr<plan::Advised> advised;
-    const auto advise = [&](const plan::ClientSettings& settings) {
+    const auto start_advice = [&](const plan::ClientSettings& settings) {
         advised.reset();
         if (!settings.planners.empty())
             advised =
                 std::make_unique<plan::Advised>(io, node.clock(), node.sidecar(), node.config(), settings);
     };
-    advise(first.plan);
+    start_advice(first.plan);
     std::unique_ptr<probing::SharedProbing> probing;
-    const auto share = [&](const ProgramSettings& settings) {
+    const auto start_probing = [&](const ProgramSettings& settings) {
         probing.reset();
         if (!settings.probing.instances.empty())
             probing = std::make_unique<probing::SharedProbing>(
                 io, node.clock(), node.sidecar(), node.config(), settings.keepers, settings.probing);
     };
-    share(first);
+    start_probing(first);
     ProgramSettings in_force = first;
     std::unique_ptr<MetricsEndpoint> metrics;
     if (first.metrics)
@@ -73,7 +75,7 @@
         if (probing) probing->stop(), log_line("probing", probing->tally());
         node.stop([&] { io.stop(); });
     });
-    // All is read before anything changes: one bad file leaves the other's old state in force too.
+    // Everything is read before anything is changed: if one file is invalid, neither file takes effect.
     const std::function<void(error_code, int)> on_reload = [&](error_code ec, int) {
         if (ec) return;
         reload.async_wait(on_reload);
@@ -82,12 +84,14 @@
             plan::Secret::from_file(settings.plan.secret_file);
             plan::Secret::from_file(settings.keepers.secret_file);
             node.reload(settings.shares);
-            advise(settings.plan);
-            // Rights that are held are not let go for a change that is not theirs.
+            start_advice(settings.plan);
+            // Shared probing is restarted, and with it its leases are released, only if its own settings
+            // changed.
             if (settings.probing != in_force.probing || settings.keepers != in_force.keepers) try {
-                    share(settings);
+                    start_probing(settings);
                 } catch (const boost::system::system_error& error) {
-                    log_line("probing.off", std::string("probing is off, it can't listen: ") + error.what());
+                    log_line("probing.off",
+                             std::string("shared probing is disabled, it can't bind: ") + error.what());
                 }
             in_force = settings;
         } catch (const std::exception& error) {
@@ -98,7 +102,7 @@
     run(io);
 }
 
-int advise_fleet(const std::string& settings_file) {
+int run_planner(const std::string& settings_file) {
     const ProgramSettings settings = settings_of(settings_file);
     if (!settings.planner) throw SettingsError(settings_file + ": planner is missing");
     asio::io_context io(1);
@@ -119,29 +123,30 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may leave; the sidecar serves on
+    std::signal(SIGPIPE, SIG_IGN);  // the reader of the log may exit; the sidecar continues
     CLI::App app("A sidecar load balancer", "cobaltshift");
     app.set_version_flag("--version", "cobaltshift " COBALTSHIFT_VERSION);
     app.require_subcommand(0, 1);
     std::string settings_file;
     app.add_option("--settings", settings_file,
-                   "our own settings, TOML; without it all optional parts are off");
-    CLI::App* sidecar = app.add_subcommand("serve", "one sidecar, as NODE_CONFIG says (also without a word)");
+                   "settings file (TOML); without it all optional features are off");
+    CLI::App* sidecar =
+        app.add_subcommand("serve", "run one sidecar, configured by NODE_CONFIG (the default)");
     sidecar->add_option("--settings", settings_file, "as above");
-    CLI::App* planner = app.add_subcommand("planner", "advises the forwarders of a fleet");
-    planner->add_option("--settings", settings_file, "as above; its table [planner] is needed")->required();
+    CLI::App* planner = app.add_subcommand("planner", "run a planner that advises the forwarders of a fleet");
+    planner->add_option("--settings", settings_file, "as above; requires the table [planner]")->required();
     LeaseCli lease(app, settings_file);
     SiteCli site(app, settings_file);
     try {
         app.parse(LeaseCli::words(argc, argv));
-    } catch (const CLI::Success& said) {  // --help, --version
-        return app.exit(said);
+    } catch (const CLI::Success& success) {  // --help, --version
+        return app.exit(success);
     } catch (const CLI::ParseError& error) {
         std::cerr << "cobaltshift: " << error.what() << '\n';
         return 2;
     }
     try {
-        if (planner->parsed()) return advise_fleet(settings_file);
+        if (planner->parsed()) return run_planner(settings_file);
         if (lease.parsed()) return lease.run();
         if (site.parsed()) return site.run();
         serve(settings_file);
--- a/src/metrics/text.hpp
+++ b/src/metrics/text.hpp
@@ -1,6 +1,6 @@
-// Metrics as text in Prometheus' public exposition format, version 0.0.4: families with their help and kind,
-// samples with labels. Debian's prometheus-cpp brings a web server with its headers, which has no place on
-// this project's machines; the format is some lines. Entry type: MetricsText. Free of I/O.
+// Writes metrics in the Prometheus text exposition format, version 0.0.4. Implemented here because Debian's
+// prometheus-cpp depends on a web server that must not be installed on this project's machines, and the
+// format needs only a few lines. Entry type: MetricsText. Performs no I/O.
 #pragma once
 
 #include <charconv>
@@ -17,8 +17,8 @@
     enum class Kind { counter, gauge };
     using Labels = std::initializer_list<std::pair<std::string_view, std::string>>;
 
-    // A family; its samples follow, before the next family begins. Names are [a-z_]+, counters' end in
-    // _total.
+    // Begins a metric family; its samples must follow before the next family. Names match [a-z_]+; names of
+    // counters end in _total.
     void family(std::string_view name, Kind kind, std::string_view help) {
         name_ = name;
         text_.append("# HELP ").append(name).append(" ").append(help).append("\n# TYPE ").append(name);
@@ -27,17 +27,17 @@
     void sample(double value, Labels labels = {}) {
         text_ += name_;
         if (labels.size() > 0) {
-            char sign = '{';
-            for (const auto& [label, is] : labels) {
-                text_ += std::exchange(sign, ',');
-                text_.append(label).append("=\"").append(escaped(is)).append("\"");
+            char separator = '{';
+            for (const auto& [label, label_value] : labels) {
+                text_ += std::exchange(separator, ',');
+                text_.append(label).append("=\"").append(escaped(label_value)).append("\"");
             }
             text_ += '}';
         }
         text_ += ' ';
-        text_.append(shown(value)).append("\n");
+        text_.append(formatted(value)).append("\n");
     }
-    // A family of one sample.
+    // A family with a single sample.
     void counter(std::string_view name, std::string_view help, double value, Labels labels = {}) {
         family(name, Kind::counter, help), sample(value, labels);
     }
@@ -58,7 +58,7 @@
         }
         return out;
     }
-    static std::string shown(double value) {
+    static std::string formatted(double value) {
         if (std::isnan(value)) return "NaN";
         if (std::isinf(value)) return value > 0 ? "+Inf" : "-Inf";
         char digits[40];
--- a/src/metrics_io/endpoint.hpp
+++ b/src/metrics_io/endpoint.hpp
@@ -1,6 +1,6 @@
-// Where a process' metrics are fetched: GET /metrics on the address that [metrics] names. Made when asked
-// for. Bounded: a few connections, a short head, a short time each; one answer a connection. Entry type:
-// MetricsEndpoint.
+// Serves a process's metrics: GET /metrics on the address given by [metrics] in the settings. The metrics are
+// rendered for each request. Limits: 8 connections, 4096 bytes of request head and 5 s per connection, one
+// request per connection. Entry type: MetricsEndpoint. Not thread-safe: runs on the io_context's thread.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -14,15 +14,15 @@
 public:
     using Render = std::function<std::string()>;
 
-    // Throws boost::system::system_error if it can't listen. `render` is called on the loop; it must outlive
-    // this.
+    // Throws boost::system::system_error if it can't bind. `render` is called on the event loop; what it
+    // refers to must outlive the endpoint.
     MetricsEndpoint(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Render render);
     ~MetricsEndpoint();
     boost::asio::ip::tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
 private:
-    static constexpr std::size_t kMostConnections = 8, kMostHead = 4096;
-    static constexpr std::chrono::seconds kWithin{5};
+    static constexpr std::size_t kMaxConnections = 8, kMaxHeadBytes = 4096;
+    static constexpr std::chrono::seconds kTimeout{5};
     struct Connection;
     void accept();
 
--- a/src/programs/control.cpp
+++ b/src/programs/control.cpp
@@ -1,4 +1,4 @@
-// cobaltshift-control: the control machine. Command line, signals and the parts put together; no logic.
+// cobaltshift-control: the program of a control node. Command line, signals and the wiring of the components.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -14,43 +14,46 @@
 #include "log/log.hpp"
 #include "net/listener.hpp"
 
-ABSL_FLAG(std::string, boot, "", "settings file; without it, the one that COBALTSHIFT_BOOT names");
-ABSL_FLAG(bool, check, false, "read the settings, say what is wrong with them, and end");
+ABSL_FLAG(std::string, boot, "", "settings file; default: the file named by COBALTSHIFT_BOOT");
+ABSL_FLAG(bool, check, false, "validate the settings and exit");
 
 namespace {
 using namespace cobaltshift;
 
-constexpr std::uint64_t kMostConfiguration = 4 << 20;  // bytes of a call
-constexpr std::size_t kConnections = 500;
-constexpr std::chrono::milliseconds kLookAtHubs{250};
+constexpr std::uint64_t kMaxConfigurationBytes = 4 << 20;  // of one API call
+constexpr std::size_t kMaxConnections = 500;
+constexpr std::chrono::milliseconds kHubsPollInterval{250};
 
-class Hub {
+// All components of a control node.
+class ControlProgram {
 public:
-    Hub(asio::io_context& io, boot::Boot boot)
+    ControlProgram(asio::io_context& io, boot::Boot boot)
         : io_(io),
           boot_(std::move(boot)),
           gossip_(io, boot_, registry::NodeRole::hub, 0),
           distributor_(io, boot_.ip, static_cast<std::uint16_t>(boot_.first_port + 1)),
           control_node_(io, boot_, distributor_),
-          front_(kMostConfiguration),
-          listener_(io, clock_, front_, {kConnections, kConnections, 16 << 20}),
+          front_(kMaxConfigurationBytes),
+          listener_(io, clock_, front_, {kMaxConnections, kMaxConnections, 16 << 20}),
           timer_(io) {
         front_.add(control_node_.config());
-        distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) { told(t->edition); };
+        distributor_.on_new = [this](std::shared_ptr<const config::Configuration> t) {
+            publish_edition(t->edition);
+        };
         gossip_.on_configuration = [this](std::uint32_t, std::uint64_t) {
-        };  // a hub has it from the others' agreement
+        };  // a control node gets configurations by replication
         control_node_.on_over = [this](const std::string& why) {
             log_line("SB029 over", why);
-            over_ = true;
+            failed_ = true;
             io_.stop();
         };
-        control_node_.on_edition = [this](std::uint64_t edition) { told(edition); };
+        control_node_.on_edition = [this](std::uint64_t edition) { publish_edition(edition); };
         if (boot_.control) listener_.listen(*boot_.control);
         gossip_.start();
-        look();
+        poll_hubs();
         log_line("SB001 started", "control " + boot_.node_name + " started");
     }
-    bool over() const { return over_; }  // it can't go on
+    bool failed() const { return failed_; }  // stopped because it can't continue
     void stop(std::function<void()> done) {
         if (stopping_) return;
         stopping_ = true;
@@ -63,16 +66,19 @@
     }
 
 private:
-    void told(std::uint64_t edition) {
+    // Announces by gossip that this node has the configuration `edition` and is ready.
+    void publish_edition(std::uint64_t edition) {
         gossip_.tell([&](registry::NodeRecord& own) { own.config_edition = edition, own.ready = true; });
     }
-    void look() {
+    // Passes the known control nodes on and republishes the edition if it changed.
+    void poll_hubs() {
         if (stopping_) return;
         control_node_.hubs(gossip_.hubs());
-        if (control_node_.edition() != gossip_.self().config_edition) told(control_node_.edition());
-        timer_.expires_after(kLookAtHubs);
+        if (control_node_.edition() != gossip_.self().config_edition)
+            publish_edition(control_node_.edition());
+        timer_.expires_after(kHubsPollInterval);
         timer_.async_wait([this](error_code ec) {
-            if (!ec) look();
+            if (!ec) poll_hubs();
         });
     }
 
@@ -85,13 +91,13 @@
     api::ApiFront front_;
     Listener listener_;
     asio::steady_timer timer_;
-    bool stopping_ = false, over_ = false;
+    bool stopping_ = false, failed_ = false;
 };
 }  // namespace
 
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
-        "a control machine: holds the configuration with the others and delivers it.\n"
+        "control node: replicates the configuration with the other control nodes and distributes it.\n"
         "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-control\n"
         "  cobaltshift-control --boot=local.conf --check");
     absl::ParseCommandLine(argc, argv);
@@ -99,34 +105,35 @@
     if (file.empty())
         if (const char* named = std::getenv("COBALTSHIFT_BOOT")) file = named;
     if (file.empty()) {
-        std::fprintf(stderr, "cobaltshift-control: no settings file: --boot or COBALTSHIFT_BOOT\n");
+        std::fprintf(stderr, "cobaltshift-control: no settings file given: set --boot or COBALTSHIFT_BOOT\n");
         return 2;
     }
     try {
-        // From the first moment to the last: a signal that comes while the node is put together must not end
-        // it unheard, nor one that comes on the way out. So they are never taken down.
+        // Registered before everything else and never destroyed: a signal during construction or destruction
+        // of the node must not kill the process.
         asio::io_context io(1);
         static auto* const signals = new asio::signal_set(io, SIGTERM, SIGINT);
         static auto* const hup = new asio::signal_set(io, SIGHUP);
         boot::Boot settings = boot::read_boot(file);
         if (settings.data_dir.empty())
             throw boot::BootError(file +
-                                  ": data_dir: is missing: a control node keeps the configuration on disk");
+                                  ": data_dir: is missing: a control node stores the configuration on disk");
         if (absl::GetFlag(FLAGS_check)) return 0;
         log_as(LogFormat::numbered);
         std::signal(SIGPIPE, SIG_IGN);
-        Hub hub(io, std::move(settings));
+        ControlProgram program(io, std::move(settings));
         signals->async_wait([&](error_code ec, int) {
-            if (!ec) hub.stop([&io] { io.stop(); });
+            if (!ec) program.stop([&io] { io.stop(); });
         });
-        std::function<void()> again = [&] {
+        // SIGHUP is ignored: a control node has nothing to reload.
+        std::function<void()> ignore_hup = [&] {
             hup->async_wait([&](error_code ec, int) {
-                if (!ec) again();
+                if (!ec) ignore_hup();
             });
         };
-        again();
+        ignore_hup();
         io.run();
-        return hub.over() ? 1 : 0;
+        return program.failed() ? 1 : 0;
     } catch (const boot::BootError& error) {
         std::fprintf(stderr, "cobaltshift-control: %s\n", error.what());
         return 2;
--- a/src/programs/proxy.cpp
+++ b/src/programs/proxy.cpp
@@ -1,5 +1,4 @@
-// cobaltshift-proxy: the sidecar on every machine with an application server. Command line and signals; no
-// logic.
+// cobaltshift-proxy: the sidecar on every machine with an application server. Command line and signals.
 #include "proxy/proxy.hpp"
 
 #include <absl/flags/flag.h>
@@ -13,14 +12,15 @@
 
 #include "log/log.hpp"
 
-ABSL_FLAG(std::string, boot, "", "settings file; without it, the one that COBALTSHIFT_BOOT names");
-ABSL_FLAG(bool, check, false, "read the settings, say what is wrong with them, and end");
+ABSL_FLAG(std::string, boot, "", "settings file; default: the file named by COBALTSHIFT_BOOT");
+ABSL_FLAG(bool, check, false, "validate the settings and exit");
 
 namespace {
 using namespace cobaltshift;
 
-void on_signals(asio::signal_set& signals, proxy::Proxy& node, asio::io_context& io,
-                const std::string& file) {
+// Handles SIGHUP by a reload, SIGTERM and SIGINT by a graceful stop.
+void handle_signals(asio::signal_set& signals, proxy::Proxy& node, asio::io_context& io,
+                    const std::string& file) {
     signals.async_wait([&signals, &node, &io, &file](error_code ec, int signal) {
         if (ec) return;
         if (signal == SIGHUP) {
@@ -32,14 +32,14 @@
         } else {
             node.stop([&io] { io.stop(); });
         }
-        on_signals(signals, node, io, file);
+        handle_signals(signals, node, io, file);
     });
 }
 }  // namespace
 
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
-        "the sidecar beside an application server.\n"
+        "sidecar proxy of an application server.\n"
         "  COBALTSHIFT_BOOT=/etc/cobaltshift/local.conf cobaltshift-proxy\n"
         "  cobaltshift-proxy --boot=local.conf --check");
     absl::ParseCommandLine(argc, argv);
@@ -47,12 +47,12 @@
     if (file.empty())
         if (const char* named = std::getenv("COBALTSHIFT_BOOT")) file = named;
     if (file.empty()) {
-        std::fprintf(stderr, "cobaltshift-proxy: no settings file: --boot or COBALTSHIFT_BOOT\n");
+        std::fprintf(stderr, "cobaltshift-proxy: no settings file given: set --boot or COBALTSHIFT_BOOT\n");
         return 2;
     }
     try {
-        // From the first moment to the last: a signal that comes while the node is put together must not end
-        // it unheard, nor one that comes on the way out. So they are never taken down.
+        // Registered before everything else and never destroyed: a signal during construction or destruction
+        // of the node must not kill the process.
         asio::io_context io(1);
         static auto* const signals = new asio::signal_set(io, SIGTERM, SIGINT, SIGHUP);
         boot::Boot settings = boot::read_boot(file);
@@ -62,7 +62,7 @@
         std::random_device device;
         const std::uint64_t seed = (std::uint64_t{device()} << 32) | device();
         proxy::Proxy node(io, std::move(settings), seed);
-        on_signals(*signals, node, io, file);
+        handle_signals(*signals, node, io, file);
         io.run();
         return 0;
     } catch (const boot::BootError& error) {
